--- a/src/libs/dispatch/dispatchnode.cpp
+++ b/src/libs/dispatch/dispatchnode.cpp
@@ -1,4 +1,4 @@
-// Messages between the parts, and their timers.
+// Routes messages between the dispatch components and drives their timers.
 #include "dispatchnode.h"
 
 #include <base/hash.h>
@@ -16,7 +16,7 @@
     , m_timers(timers)
     , m_port(executors)
     , m_peers(peers)
-    , m_rights(m_self, domain, timers, *this)
+    , m_ownership(m_self, domain, timers, *this)
     , m_directory(domain)
     , m_jobs(timers, m_directory, *this)
 {}
@@ -48,7 +48,7 @@
     return ids;
 }
 
-/// A domain with many executors has several groups, and their owners share its load.
+/// A domain with many executors is divided into several groups, whose owners share the load.
 void DispatchNode::divideDomains(const std::vector<ExecutorInfo> &executors)
 {
     std::map<Base::FailureDomainId, std::size_t> sizes;
@@ -80,7 +80,7 @@
     std::map<GroupId, Base::FailureDomainId> groups;
     std::map<GroupId, std::vector<ExecutorInfo>> lists;
     for (const auto &[id, list] : m_executors)
-        lists[id]; // a group without executors stays known
+        lists[id]; // keep groups that have no executors any more
     for (const ExecutorInfo &it : executors) {
         const GroupId group = groupOf(it);
         groups.emplace(group, it.domain);
@@ -91,21 +91,21 @@
             m_listChanged[id] = m_timers.now();
     }
     m_executors = std::move(lists);
-    m_rights.setGroups(groups);
+    m_ownership.setGroups(groups);
     m_directory.setGroups(groups);
     for (auto &[id, group] : m_owned)
         updateGroup(id, *group);
 }
 
-/// Passes the registered executors on, and those that only the last owner knew: these are looked
-/// at, which bars them for that owner, and get no work.
+/// Sets the registered executors, and those that only the last owner knew as draining. The latter
+/// are queried under the new token, which fences the last owner there, and get no tasks.
 void DispatchNode::updateGroup(const GroupId &id, ExecutorGroup &group)
 {
     std::vector<ExecutorInfo> executors = m_executors[id];
     const std::set<ExecutorId> known = idsOf(executors);
     const auto members = m_members.find(id);
-    const bool isFresh = m_timers.now() - group.claimed() < Constants::CLAIM_MEMBERS_MS;
-    if (members != m_members.end() && isFresh) {
+    const bool isRecentlyClaimed = m_timers.now() - group.claimed() < Constants::CLAIM_MEMBERS_MS;
+    if (members != m_members.end() && isRecentlyClaimed) {
         for (const Wire::GroupMember &it : members->second.members) {
             if (known.contains(ExecutorId(it.id)))
                 continue;
@@ -136,7 +136,7 @@
     return message;
 }
 
-/// Tells the likely next owners which executors the group has, if that has changed.
+/// Sends the executors of the group to its likely next owners if they have changed.
 void DispatchNode::sendMembers(const GroupId &id, const ExecutorGroup &group)
 {
     Wire::GroupMembers message = membersOf(id, group);
@@ -144,7 +144,7 @@
     if (sent == message)
         return;
     for (const auto &[peer, connections] : m_connections) {
-        if (m_peers.isConnected(peer) && (!isLarge() || !m_rights.isRemote(peer)))
+        if (m_peers.isConnected(peer) && (!isLargeDeployment() || !m_ownership.isRemote(peer)))
             m_peers.send(peer, message);
     }
     sent = std::move(message);
@@ -153,7 +153,7 @@
 bool DispatchNode::canServe() const
 {
     for (const auto &[id, list] : m_executors) {
-        if (!list.empty() && m_rights.owner(id))
+        if (!list.empty() && m_ownership.owner(id))
             return true;
     }
     return false;
@@ -165,31 +165,31 @@
         stateReceived(from, *state);
     else
         handleMessage(from.daemon, message);
-    m_rights.messageReceived(from.daemon, from.incarnation);
+    m_ownership.messageReceived(from.daemon, from.incarnation);
 }
 
 void DispatchNode::stateReceived(const Wire::PeerIdentity &from, const Wire::DispatchState &state)
 {
-    m_rights.peerHeard(from.daemon, from.domain, from.incarnation, state);
+    m_ownership.stateReceived(from.daemon, from.domain, from.incarnation, state);
     const auto connection = std::pair(from.incarnation, state.connection);
     auto &known = m_peerConnections[from.daemon];
     if (known == connection)
         return;
-    // Reports that were under way on the peer's earlier connection may be lost.
+    // Reports that were in transit on the peer's previous connection may be lost.
     known = connection;
     claimTasksAt(from.daemon);
 }
 
 void DispatchNode::sendState(const Base::DaemonId &peer, std::uint64_t connections)
 {
-    Wire::DispatchState state = m_rights.stateFor(peer);
+    Wire::DispatchState state = m_ownership.stateFor(peer);
     state.connection = connections;
     m_peers.send(peer, state);
 }
 
 void DispatchNode::peerConnected(const Wire::PeerIdentity &peer)
 {
-    m_rights.peerConnected(peer.daemon);
+    m_ownership.peerConnected(peer.daemon);
     sendState(peer.daemon, ++m_connections[peer.daemon]);
     for (const auto &[id, group] : m_owned) {
         m_peers.send(peer.daemon, membersOf(id, *group));
@@ -202,9 +202,9 @@
 
 void DispatchNode::peerDisconnected(const Wire::PeerIdentity &peer)
 {
-    m_rights.peerBroken(peer.daemon);
+    m_ownership.peerDisconnected(peer.daemon);
     for (const auto &[id, list] : m_executors) {
-        if (m_rights.owner(id) == peer.daemon)
+        if (m_ownership.owner(id) == peer.daemon)
             m_directory.forgetLoad(id);
     }
 }
@@ -212,7 +212,7 @@
 void DispatchNode::claimTasksAt(const Base::DaemonId &owner)
 {
     for (const auto &[id, list] : m_executors) {
-        if (m_rights.owner(id) == owner)
+        if (m_ownership.owner(id) == owner)
             m_jobs.claimTasks(id);
     }
 }
@@ -220,21 +220,21 @@
 void DispatchNode::handleMessage(const Base::DaemonId &from, const Wire::Message &message)
 {
     if (const auto *load = std::get_if<Wire::GroupLoad>(&message)) {
-        m_rights.ownerHeard(from, GroupId(load->group), FencingToken(load->token));
+        m_ownership.confirmOwner(from, GroupId(load->group), FencingToken(load->token));
         m_directory.loadReceived(*load);
     } else if (const auto *batch = std::get_if<Wire::TaskBatch>(&message)) {
-        // A daemon that is not the owner any more stays silent; the sender claims the tasks from
-        // the owner as soon as it hears of it.
+        // A daemon that is no longer the owner does not answer; the sender claims the tasks from
+        // the new owner as soon as it learns of it.
         const auto it = m_owned.find(GroupId(batch->group));
         if (it == m_owned.end())
             return;
-        if (from != m_self && (areMessagesStale() || !m_rights.isAlive(from))) {
-            m_rights.noteDropped(from);
+        if (from != m_self && (areMessagesStale() || !m_ownership.isAlive(from))) {
+            m_ownership.recordDroppedTasks(from);
             return;
         }
         it->second->submit(from, *batch);
     } else if (const auto *reports = std::get_if<Wire::TaskReports>(&message)) {
-        if (m_rights.owner(GroupId(reports->group)) == from)
+        if (m_ownership.owner(GroupId(reports->group)) == from)
             m_jobs.reportsReceived(*reports);
     } else if (const auto *members = std::get_if<Wire::GroupMembers>(&message)) {
         Wire::GroupMembers &known = m_members[GroupId(members->group)];
@@ -247,8 +247,8 @@
     }
 }
 
-/// A batch that waited here through a pause may be of a daemon that has been lost since, whose
-/// callers have sent their jobs to others.
+/// A batch that was delayed by a pause of this process may come from a daemon that has been lost
+/// since, and whose callers have submitted their jobs to other daemons.
 bool DispatchNode::areMessagesStale() const
 {
     const Base::TimePoint now = m_timers.now();
@@ -262,13 +262,13 @@
         post([this, reports] { handleMessage(m_self, reports); });
         return;
     }
-    // A report that can't be sent is asked for again when the connection is back.
+    // A report that cannot be sent is requested again when the connection is restored.
     m_peers.send(coordinator, reports);
 }
 
 bool DispatchNode::sendToOwner(const GroupId &group, const Wire::Message &message)
 {
-    const auto owner = m_rights.owner(group);
+    const auto owner = m_ownership.owner(group);
     if (!owner)
         return false;
     if (*owner == m_self) {
@@ -280,16 +280,16 @@
 
 bool DispatchNode::isOwnerReachable(const GroupId &group) const
 {
-    const auto owner = m_rights.owner(group);
+    const auto owner = m_ownership.owner(group);
     return owner && (*owner == m_self || m_peers.isConnected(*owner));
 }
 
 void DispatchNode::groupFenced(const GroupId &group, bool wasAccepted)
 {
-    post([this, group, wasAccepted] { m_rights.fenced(group, wasAccepted); });
+    post([this, group, wasAccepted] { m_ownership.fenced(group, wasAccepted); });
 }
 
-/// The lowest token shows whether an executor answers, and changes nothing there.
+/// Probes with the lowest token, which executors answer without changing their state.
 void DispatchNode::probeGroup(const GroupId &group)
 {
     struct Probe
@@ -303,11 +303,11 @@
     const auto probe = std::make_shared<Probe>();
     probe->asked = std::min(executors.size(), Constants::PROBE_SIZE);
     if (probe->asked == 0) {
-        post([this, group] { m_rights.probed(group, false); });
+        post([this, group] { m_ownership.probed(group, false); });
         return;
     }
     for (std::size_t i = 0; i < probe->asked; ++i) {
-        // Spread over the whole list, since neighbours share a rack.
+        // Spread over the whole list, because adjacent entries are often in the same rack.
         const ExecutorInfo &executor = executors[i * executors.size() / probe->asked];
         m_port.hold(executor, {},
                     [this, alive = m_isAlive, group, probe](const HoldResult &result) {
@@ -322,7 +322,7 @@
                         if (probe->isDone || (!isReachable && probe->answered < probe->asked))
                             return;
                         probe->isDone = true;
-                        m_rights.probed(group, isReachable);
+                        m_ownership.probed(group, isReachable);
                     });
     }
 }
@@ -377,16 +377,17 @@
 void DispatchNode::sendStates()
 {
     m_lastStates = m_timers.now();
-    const bool isForAll = !isLarge() || m_stateRound++ % Constants::REMOTE_STATE_EVERY == 0;
+    const bool isForAll =
+        !isLargeDeployment() || m_stateRound++ % Constants::REMOTE_STATE_EVERY == 0;
     for (const auto &[peer, connections] : m_connections) {
-        if (m_peers.isConnected(peer) && (isForAll || !m_rights.isRemote(peer)))
+        if (m_peers.isConnected(peer) && (isForAll || !m_ownership.isRemote(peer)))
             sendState(peer, connections);
     }
-    for (const Base::DaemonId &it : m_rights.peersToReset())
+    for (const Base::DaemonId &it : m_ownership.peersToReset())
         m_peers.resetConnection(it);
 }
 
-/// Whether a report is due after \a last; it then counts as made.
+/// Whether a report is due after \a last, and if so sets \a last to it.
 bool DispatchNode::isDue(LoadReport &last, const ExecutorGroup &group,
                          Base::Duration interval) const
 {
@@ -399,18 +400,18 @@
     return true;
 }
 
-void DispatchNode::sendLoad(const ExecutorGroup &group, bool isToNear, bool isToFar)
+void DispatchNode::sendLoad(const ExecutorGroup &group, bool isForLocal, bool isForRemote)
 {
     Wire::Message message = group.load();
     auto &load = std::get<Wire::GroupLoad>(message);
     for (const auto &[peer, connections] : m_connections) {
-        const bool isFar = isLarge() && m_rights.isRemote(peer);
-        if (!(isFar ? isToFar : isToNear) || !m_peers.isConnected(peer))
+        const bool isRemotePeer = isLargeDeployment() && m_ownership.isRemote(peer);
+        if (!(isRemotePeer ? isForRemote : isForLocal) || !m_peers.isConnected(peer))
             continue;
         load.batchesSeen = group.batchesSeen(peer);
         m_peers.send(peer, message);
     }
-    if (!isToNear)
+    if (!isForLocal)
         return;
     load.batchesSeen = group.batchesSeen(m_self);
     m_directory.loadReceived(load);
@@ -419,13 +420,14 @@
 void DispatchNode::sendLoads()
 {
     const Base::Duration interval =
-        isLarge() ? Constants::LARGE_LOAD_REPORT_MS : Constants::LOAD_REPORT_MS;
+        isLargeDeployment() ? Constants::LARGE_LOAD_REPORT_MS : Constants::LOAD_REPORT_MS;
     for (const auto &[id, group] : m_owned) {
-        const bool isToNear = isDue(m_nearReports[id], *group, interval);
-        const bool isToFar =
-            isLarge() && isDue(m_farReports[id], *group, Constants::REMOTE_LOAD_REPORT_MS);
-        if (isToNear || isToFar)
-            sendLoad(*group, isToNear, isToFar);
+        const bool isForLocal = isDue(m_localReports[id], *group, interval);
+        const bool isForRemote =
+            isLargeDeployment()
+            && isDue(m_remoteReports[id], *group, Constants::REMOTE_LOAD_REPORT_MS);
+        if (isForLocal || isForRemote)
+            sendLoad(*group, isForLocal, isForRemote);
     }
 }
 
@@ -433,13 +435,13 @@
 {
     m_tickTimer = m_timers.schedule(Constants::LOAD_REPORT_MS, [this] { tick(); });
     sendLoads();
-    // Loads go out with every call, the rest with every second one.
+    // Loads are sent with every call, the rest is done with every second one.
     if (m_timers.now() - m_lastTick < Constants::TICK_MS - Constants::LOAD_REPORT_MS / 2)
         return;
     if (m_timers.now() - m_lastTick > Constants::PAUSE_MS)
         m_staleUntil = m_timers.now() + Constants::STALE_MESSAGES_MS;
     m_lastTick = m_timers.now();
-    m_rights.tick();
+    m_ownership.tick();
     for (const auto &[id, group] : m_owned)
         group->tick();
     m_jobs.tick();
@@ -449,7 +451,7 @@
 
 void DispatchNode::beginDrain()
 {
-    m_rights.setDraining();
+    m_ownership.setDraining();
     sendStates();
 }
 
--- a/src/libs/dispatch/dispatchnode.h
+++ b/src/libs/dispatch/dispatchnode.h
@@ -1,10 +1,10 @@
-// The dispatch of one daemon: its jobs, the groups that it orders, and its view of all groups.
+// The dispatcher of one daemon: its jobs, the groups that it owns, and the load of all groups.
 #pragma once
 
 #include "dispatchconstants.h"
 #include "executorgroup.h"
 #include "groupdirectory.h"
-#include "grouprights.h"
+#include "groupownership.h"
 #include "jobcoordinator.h"
 
 #include <wire/peerport.h>
@@ -13,11 +13,11 @@
 
 namespace Dispatch {
 
-/// Passes messages between the parts of this daemon and those of others. Does no input or output of
-/// its own; all calls happen on one loop.
+/// Connects the dispatch components of this daemon with each other and with those of other daemons.
+/// Performs no I/O itself; all calls are made on one event loop.
 class DispatchNode : public Wire::PeerListener,
                      private GroupListener,
-                     private RightsListener,
+                     private GroupOwnershipListener,
                      private GroupSender
 {
 public:
@@ -26,23 +26,23 @@
                  ExecutorPort &executors, Wire::PeerPort &peers);
     ~DispatchNode() override;
 
-    /// Calls tick() from now on.
+    /// Starts the periodic calls of tick().
     void start();
-    /// No timer and no answer to an order has an effect after this.
+    /// Timers and answers to orders have no effect after this.
     void stop();
 
-    /// See GroupRights::setCapacity().
-    void setCapacity(std::uint32_t cpuMillis) { m_rights.setCapacity(cpuMillis); }
-    /// A number that no other daemon has had, higher than those of earlier daemons.
-    void setDaemonNumber(std::uint64_t number) { m_rights.setDaemonNumber(number); }
-    /// The registered executors of the whole deployment.
+    /// See GroupOwnership::setCapacity().
+    void setCapacity(std::uint32_t cpuMillis) { m_ownership.setCapacity(cpuMillis); }
+    /// See GroupOwnership::setDaemonNumber().
+    void setDaemonNumber(std::uint64_t number) { m_ownership.setDaemonNumber(number); }
+    /// Sets the registered executors of the whole deployment.
     void setExecutors(const std::vector<ExecutorInfo> &executors);
-    /// Other daemons take the owned groups over; jobs go on.
+    /// Lets other daemons take over the owned groups; the jobs of this daemon continue.
     void beginDrain();
 
     JobCoordinator &jobs() { return m_jobs; }
     const std::map<GroupId, std::unique_ptr<ExecutorGroup>> &ownedGroups() const { return m_owned; }
-    /// Whether some group with executors has an owner.
+    /// Whether at least one group with executors has an owner.
     bool canServe() const;
 
     void peerMessageReceived(const Wire::PeerIdentity &from, const Wire::Message &message) override;
@@ -76,12 +76,12 @@
     void sendState(const Base::DaemonId &peer, std::uint64_t connections);
     void sendStates();
     void sendLoads();
-    void sendLoad(const ExecutorGroup &group, bool isToNear, bool isToFar);
+    void sendLoad(const ExecutorGroup &group, bool isForLocal, bool isForRemote);
     bool isDue(LoadReport &last, const ExecutorGroup &group, Base::Duration interval) const;
     void tick();
     GroupId groupOf(const ExecutorInfo &executor) const;
     void divideDomains(const std::vector<ExecutorInfo> &executors);
-    bool isLarge() const { return m_connections.size() > Constants::MAX_GOSSIP_PEERS; }
+    bool isLargeDeployment() const { return m_connections.size() > Constants::MAX_GOSSIP_PEERS; }
     Wire::GroupMembers membersOf(const GroupId &id, const ExecutorGroup &group) const;
     void sendMembers(const GroupId &id, const ExecutorGroup &group);
     void updateGroup(const GroupId &id, ExecutorGroup &group);
@@ -92,26 +92,26 @@
     Base::Timers &m_timers;
     ExecutorPort &m_port;
     Wire::PeerPort &m_peers;
-    GroupRights m_rights;
+    GroupOwnership m_ownership;
     GroupDirectory m_directory;
     JobCoordinator m_jobs;
     std::map<GroupId, std::unique_ptr<ExecutorGroup>> m_owned;
-    // Groups that were lost in a call of their own; destroyed from the loop.
+    // Groups that were lost during a call of their own methods; destroyed from the event loop.
     std::vector<std::unique_ptr<ExecutorGroup>> m_retired;
     std::map<GroupId, std::vector<ExecutorInfo>> m_executors;
-    std::map<GroupId, Base::TimePoint> m_listChanged; // when ids were added or removed
-    // As stated by the group's last owner. Its list may be newer than that of this daemon.
+    std::map<GroupId, Base::TimePoint> m_listChanged; // last addition or removal of an id
+    // As sent by the group's last owner, whose list may be newer than that of this daemon.
     std::map<GroupId, Wire::GroupMembers> m_members;
     std::map<GroupId, Wire::GroupMembers> m_sentMembers;   // of owned groups
-    std::map<GroupId, LoadReport> m_nearReports;           // to the domain; to all if not large
-    std::map<GroupId, LoadReport> m_farReports;            // to other domains, if large
-    std::map<Base::DaemonId, std::uint64_t> m_connections; // made to each peer
+    std::map<GroupId, LoadReport> m_localReports;          // to the own domain; to all if not large
+    std::map<GroupId, LoadReport> m_remoteReports;         // to other domains, if large
+    std::map<Base::DaemonId, std::uint64_t> m_connections; // number made to each peer
     std::map<Base::DaemonId, std::pair<Base::Incarnation, std::uint64_t>> m_peerConnections;
-    std::map<Base::FailureDomainId, std::size_t> m_groupCounts; // by domain; never fall
+    std::map<Base::FailureDomainId, std::size_t> m_groupCounts; // by domain; never decrease
     std::uint64_t m_stateRound = 0;
     Base::TimerId m_tickTimer;
     Base::TimePoint m_lastTick;
-    Base::TimePoint m_staleUntil; // messages that waited through a pause arrive until then
+    Base::TimePoint m_staleUntil; // messages delayed by a pause arrive until then
     Base::TimePoint m_lastStates;
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
--- a/src/libs/dispatch/dispatchtypes.cpp
+++ b/src/libs/dispatch/dispatchtypes.cpp
@@ -1,4 +1,4 @@
-// Arithmetic and names of the dispatch types.
+// Resource arithmetic and formatting of task ids.
 #include "dispatchtypes.h"
 
 #include <fmt/format.h>
@@ -11,9 +11,9 @@
 std::uint32_t Resources::places(const Resources &shape) const
 {
     std::uint32_t n = std::numeric_limits<std::uint32_t>::max();
-    const auto bound = [&n](std::uint32_t room, std::uint32_t need) {
+    const auto bound = [&n](std::uint32_t available, std::uint32_t need) {
         if (need > 0)
-            n = std::min(n, room / need);
+            n = std::min(n, available / need);
     };
     bound(cpuMillis, shape.cpuMillis);
     bound(memoryMb, shape.memoryMb);
--- a/src/libs/dispatch/dispatchtypes.h
+++ b/src/libs/dispatch/dispatchtypes.h
@@ -1,4 +1,4 @@
-// Jobs, tasks and executors as the dispatch library sees them.
+// Basic types of the dispatch library: jobs, tasks, executors and resources.
 #pragma once
 
 #include <base/ids.h>
@@ -12,19 +12,19 @@
 namespace Dispatch {
 
 using ExecutorId = Base::Id<struct ExecutorIdTag>;
-/// Executors that are ordered by one daemon: those of a failure domain, or a part of them.
+/// Executors that are controlled by one daemon: those of a failure domain, or some of them.
 using GroupId = Base::Id<struct GroupIdTag>;
 using JobId = Base::Id<struct JobIdTag>;
 using QueueId = Base::Id<struct QueueIdTag>;
 using ServiceId = Base::Id<struct ServiceIdTag>;
 
-/// Numbers the starts of a task; rises with each of them.
+/// Number of a run of a task; increases with each start.
 using RunNumber = Base::Number<struct RunNumberTag>;
-/// An executor refuses orders whose token is lower than the highest that it has seen.
+/// An executor refuses orders whose token is lower than the highest token that it has seen.
 using FencingToken = Base::Number<struct FencingTokenTag>;
-/// Numbers the ends that one lifetime of an executor lists.
+/// Sequence number of an ended run, within one lifetime of an executor.
 using EndSequence = Base::Number<struct EndSequenceTag>;
-/// Distinguishes the lifetimes of one executor id.
+/// Distinguishes successive incarnations of an executor with the same id.
 using Lifetime = Base::Number<struct LifetimeTag>;
 
 struct Resources
@@ -35,9 +35,10 @@
 
     bool operator==(const Resources &) const = default;
 
-    bool fits(const Resources &room) const
+    bool fits(const Resources &available) const
     {
-        return cpuMillis <= room.cpuMillis && memoryMb <= room.memoryMb && gpus <= room.gpus;
+        return cpuMillis <= available.cpuMillis && memoryMb <= available.memoryMb
+               && gpus <= available.gpus;
     }
     Resources &operator+=(const Resources &other)
     {
@@ -46,14 +47,14 @@
         gpus += other.gpus;
         return *this;
     }
-    /// What is left after \a used; 0 where more is used than there is.
+    /// These resources minus \a used; 0 for each resource of which more is used than available.
     Resources minus(const Resources &used) const
     {
         const auto rest = [](std::uint32_t a, std::uint32_t b) { return a > b ? a - b : 0; };
         return {rest(cpuMillis, used.cpuMillis), rest(memoryMb, used.memoryMb),
                 rest(gpus, used.gpus)};
     }
-    /// How many tasks of \a shape fit into this room.
+    /// Number of tasks that fit into these resources if each needs \a shape.
     std::uint32_t places(const Resources &shape) const;
 };
 
@@ -67,41 +68,41 @@
     auto operator<=>(const TaskId &) const = default; // NOLINT(modernize-use-nullptr)
 };
 
-/// Names a task in logs.
+/// Identifies the task in logs.
 std::string toString(const TaskId &task);
 
 /// How a run ended.
 enum class RunEnd {
     Done,
-    Failed,  ///< Through its own fault or the executor's; counts as an attempt.
-    Stopped, ///< On an order.
+    Failed,  ///< The task or the executor failed; counts as an attempt.
+    Stopped, ///< By a stop order.
     Lapsed,  ///< The executor's lease expired.
     Broken,  ///< Another member of its gang ended.
-    Alone,   ///< The other members of its gang did not come.
+    Alone,   ///< The other members of its gang did not start.
 };
 
-/// One step of a job: tasks of one shape.
+/// One step of a job: tasks with the same resource requirements.
 struct StepSpec
 {
     std::uint32_t count = 0;
-    Resources shape;                  // of one task
-    Base::Duration estimate{0};       // rough run time of one task
-    std::vector<std::uint32_t> after; // earlier steps that must be done first
+    Resources shape;                  // resources needed by one task
+    Base::Duration estimate{0};       // estimated run time of one task
+    std::vector<std::uint32_t> after; // steps that must be done before this one
     std::string requiredLabel;        // empty: any executor
     std::string preferredRack;        // empty: none
-    std::uint32_t maxPerExecutor = 0; // 0: no bound
+    std::uint32_t maxPerExecutor = 0; // 0: unlimited
 };
 
-/// What the desired state says about a queue of jobs.
+/// Settings of a job queue in the desired state.
 struct QueuePolicy
 {
     QueueId queue;
     ServiceId service;
-    std::uint32_t priority = 0; // 0 comes first
+    std::uint32_t priority = 0; // 0 is the highest
     std::uint32_t maxAttempts = 1;
-    double stretch = 1;                 // factor on the longest chain of run times
-    Base::Duration targetCompletion{0}; // added to it; together they are the objective
-    Base::Duration timeout{0};          // how long a request on the queue may take
+    double stretch = 1;                 // factor applied to the critical path of a job
+    Base::Duration targetCompletion{0}; // added to the product; the sum is the objective
+    Base::Duration timeout{0};          // of requests on this queue
 
     bool operator==(const QueuePolicy &) const = default;
 };
@@ -123,7 +124,7 @@
     Resources capacity;
     std::string kind;
     std::string rack;
-    bool draining = false; // leaves soon and takes no new work
+    bool draining = false; // about to leave; accepts no new tasks
     bool refusesOverload = false;
     Lifetime lifetime; // 0 if not registered
 
--- a/src/libs/dispatch/groupdirectory.cpp
+++ b/src/libs/dispatch/groupdirectory.cpp
@@ -1,4 +1,4 @@
-// Views of the groups and the choice among them.
+// Load of the groups and placement of tasks.
 #include "groupdirectory.h"
 
 #include <algorithm>
@@ -6,36 +6,37 @@
 
 namespace Dispatch {
 
-/// Speed of an executor elsewhere relative to an equal one nearby: two link delays of 1.4 ms on a
-/// task of 60 ms, and bytes between failure domains are dear.
+/// Relative speed of an executor in another failure domain: two link delays of 1.4 ms on a task of
+/// 60 ms, and traffic between failure domains is expensive.
 static constexpr double REMOTE_SPEED = 0.93;
-/// Speed outside of the preferred rack, as in ExecutorGroup.
+/// Relative speed of an executor outside the preferred rack, same as in ExecutorGroup.
 static constexpr double OTHER_RACK_SPEED = 0.5;
-/// Between equal queues the nearer one is taken.
+/// Added to the wait in other failure domains, so that the own one is chosen if queues are equal.
 static constexpr double REMOTE_WAIT_S = 1e-3;
 
-static Resources freeRoom(const Wire::ExecutorLoad &executor)
+static Resources freeResources(const Wire::ExecutorLoad &executor)
 {
     return {executor.freeCpuMillis, executor.freeMemoryMb, executor.freeGpus};
 }
 
-static bool suits(const Wire::ExecutorLoad &executor, const PlacementRequest &request)
+static bool isEligible(const Wire::ExecutorLoad &executor, const PlacementRequest &request)
 {
     return executor.service == request.service.value()
            && (request.requiredLabel.empty() || executor.kind == request.requiredLabel)
-           && request.shape.fits(freeRoom(executor));
+           && request.shape.fits(freeResources(executor));
 }
 
 static double speedFor(const Wire::ExecutorLoad &executor, const PlacementRequest &request)
 {
     const double speed = executor.speedPercent / 100.0;
-    const bool isFar = !request.preferredRack.empty() && executor.rack != request.preferredRack;
-    return isFar ? speed * OTHER_RACK_SPEED : speed;
+    const bool isOtherRack =
+        !request.preferredRack.empty() && executor.rack != request.preferredRack;
+    return isOtherRack ? speed * OTHER_RACK_SPEED : speed;
 }
 
-static void takeRoom(Wire::ExecutorLoad &executor, const Resources &shape)
+static void reserve(Wire::ExecutorLoad &executor, const Resources &shape)
 {
-    const Resources rest = freeRoom(executor).minus(shape);
+    const Resources rest = freeResources(executor).minus(shape);
     executor.freeCpuMillis = rest.cpuMillis;
     executor.freeMemoryMb = rest.memoryMb;
     executor.freeGpus = rest.gpus;
@@ -56,18 +57,19 @@
         m_groups[id].domain = domain;
 }
 
-/// Takes the room of \a request where the owner would: on the fastest free executors.
+/// Reserves resources for \a request as the owner would: on the fastest free executors.
 void GroupDirectory::apply(Group &group, const PlacementRequest &request)
 {
     for (std::uint32_t i = 0; i < request.count; ++i) {
         Wire::ExecutorLoad *best = nullptr;
         for (Wire::ExecutorLoad &it : group.executors) {
-            if (suits(it, request) && (!best || speedFor(it, request) > speedFor(*best, request))) {
+            if (isEligible(it, request)
+                && (!best || speedFor(it, request) > speedFor(*best, request))) {
                 best = &it;
             }
         }
         if (best)
-            takeRoom(*best, request.shape);
+            reserve(*best, request.shape);
         else
             group.queued[{request.service, request.priority}] += workOf(request);
     }
@@ -90,9 +92,9 @@
     if (it == m_groups.end())
         return;
     Group &group = it->second;
-    if (group.isKnown && load.token < group.load.token)
+    if (group.hasLoad && load.token < group.load.token)
         return;
-    group.isKnown = true;
+    group.hasLoad = true;
     group.load = load;
     std::erase_if(group.pending,
                   [&load](const Pending &p) { return p.sequence <= load.batchesSeen; });
@@ -104,7 +106,7 @@
     const auto it = m_groups.find(id);
     if (it == m_groups.end())
         return;
-    it->second.isKnown = false;
+    it->second.hasLoad = false;
     it->second.executors.clear();
     it->second.pending.clear();
     it->second.queued.clear();
@@ -135,7 +137,7 @@
                        [&service](const auto &it) { return it.service == service.value(); });
 }
 
-/// Free room of the executors that suit, fastest first.
+/// Free resources of the eligible executors, fastest first.
 class GroupDirectory::Candidates
 {
 public:
@@ -144,19 +146,19 @@
         : m_shape(request.shape)
     {
         for (const auto &[id, group] : groups) {
-            if (!group.isKnown)
+            if (!group.hasLoad)
                 continue;
-            const double distance = group.domain == domain ? 1 : REMOTE_SPEED;
+            const double localityFactor = group.domain == domain ? 1 : REMOTE_SPEED;
             for (const Wire::ExecutorLoad &it : group.executors) {
-                if (suits(it, request))
-                    m_heap.push_back(
-                        {speedFor(it, request) * distance, m_heap.size(), &id, freeRoom(it)});
+                if (isEligible(it, request))
+                    m_heap.push_back({speedFor(it, request) * localityFactor, m_heap.size(), &id,
+                                      freeResources(it)});
             }
         }
         std::make_heap(m_heap.begin(), m_heap.end());
     }
 
-    /// Takes the room for one task and returns its group, or null if there is none.
+    /// Reserves the resources for one task and returns the group, or null if nothing is free.
     const GroupId *take()
     {
         if (m_heap.empty())
@@ -164,8 +166,8 @@
         std::pop_heap(m_heap.begin(), m_heap.end());
         Entry &best = m_heap.back();
         const GroupId *group = best.group;
-        best.room = best.room.minus(m_shape);
-        if (m_shape.fits(best.room))
+        best.available = best.available.minus(m_shape);
+        if (m_shape.fits(best.available))
             std::push_heap(m_heap.begin(), m_heap.end());
         else
             m_heap.pop_back();
@@ -176,9 +178,9 @@
     struct Entry
     {
         double speed = 0;
-        std::size_t order = 0; // of two equal executors the first is taken
+        std::size_t order = 0; // of equally fast executors the first is used
         const GroupId *group = nullptr;
-        Resources room;
+        Resources available;
 
         bool operator<(const Entry &other) const
         {
@@ -190,19 +192,19 @@
     std::vector<Entry> m_heap;
 };
 
-/// The group where a task of \a request waits the shortest behind what is queued and \a added.
+/// The group in which a task of \a request waits the shortest, given the queued work and \a added.
 std::optional<GroupId> GroupDirectory::shortestQueue(const PlacementRequest &request,
                                                      const std::map<GroupId, double> &added) const
 {
     std::optional<double> shortest;
     std::optional<GroupId> best;
     for (const auto &[id, group] : m_groups) {
-        if (!group.isKnown || !hasService(group.load.executors, request.service))
+        if (!group.hasLoad || !hasService(group.load.executors, request.service))
             continue;
-        const auto own = added.find(id);
+        const auto extra = added.find(id);
         const double wait =
             std::chrono::duration<double>(waitIn(group, request.service, request.priority,
-                                                 own == added.end() ? 0 : own->second))
+                                                 extra == added.end() ? 0 : extra->second))
                 .count()
             + (group.domain == m_domain ? 0 : REMOTE_WAIT_S);
         if (!shortest || wait < *shortest) {
@@ -243,7 +245,7 @@
                                const PlacementRequest &request)
 {
     const auto it = m_groups.find(id);
-    if (it == m_groups.end() || !it->second.isKnown)
+    if (it == m_groups.end() || !it->second.hasLoad)
         return;
     it->second.pending.push_back({sequence, request});
     apply(it->second, request);
@@ -254,7 +256,7 @@
 {
     std::optional<Base::Duration> shortest;
     for (const auto &[id, group] : m_groups) {
-        if (!group.isKnown || !hasService(group.load.executors, service))
+        if (!group.hasLoad || !hasService(group.load.executors, service))
             continue;
         const Base::Duration wait = waitIn(group, service, priority, 0);
         shortest = shortest ? std::min(*shortest, wait) : wait;
--- a/src/libs/dispatch/groupdirectory.h
+++ b/src/libs/dispatch/groupdirectory.h
@@ -1,4 +1,4 @@
-// What a daemon knows about the load of all groups, and where it sends the tasks of a job.
+// Tracks the load of all groups and decides to which groups the tasks of a job are sent.
 #pragma once
 
 #include "dispatchtypes.h"
@@ -11,7 +11,7 @@
 
 namespace Dispatch {
 
-/// What a set of equal tasks needs.
+/// Requirements of a set of identical tasks.
 struct PlacementRequest
 {
     ServiceId service;
@@ -23,16 +23,16 @@
     std::uint32_t count = 0;
 };
 
-/// How many tasks go to one group.
+/// Number of tasks assigned to one group.
 struct PlacementShare
 {
     GroupId group;
     std::uint32_t count = 0;
-    std::uint32_t startable = 0; // of these, for how many there is free room as far as is known
+    std::uint32_t startable = 0; // of these, can start at once according to the last known load
 };
 
-/// Answers jobs of many parallel tasks under stale views: free room as last reported, less what
-/// this daemon has sent since.
+/// Places parallel tasks based on load reports that may be stale: uses the free resources as last
+/// reported, minus those of the batches that this daemon has sent since.
 class GroupDirectory
 {
 public:
@@ -40,18 +40,18 @@
 
     void setGroups(const std::map<GroupId, Base::FailureDomainId> &groups);
     void loadReceived(const Wire::GroupLoad &load);
-    /// Nothing is known about a group whose owner is lost.
+    /// Discards the load of a group whose owner is lost or has changed, as it is no longer known.
     void forgetLoad(const GroupId &group);
 
-    /// Divides the tasks among the groups: the fastest free executors first, nearer ones before
-    /// equal ones; what finds no room goes where it waits the shortest. Empty if no group is known
-    /// to have an executor of the service.
+    /// Distributes the tasks over the groups: the fastest free executors first, those of the own
+    /// failure domain before equally fast ones elsewhere. Tasks that cannot start at once go to the
+    /// group with the shortest wait. Empty if no group is known to have an executor of the service.
     std::vector<PlacementShare> place(const PlacementRequest &request) const;
-    /// Remembers that a batch was sent, until a load report includes it.
+    /// Accounts for a batch that was sent, until a load report includes it.
     void batchSent(const GroupId &group, std::uint64_t sequence, const PlacementRequest &request);
 
-    /// Time until a task of \a priority starts in the group where it waits the shortest. No value
-    /// if no executor of the service is known.
+    /// Time until a task of \a priority starts in the group with the shortest wait. No value if no
+    /// executor of the service is known.
     std::optional<Base::Duration> expectedWait(const ServiceId &service,
                                                std::uint32_t priority) const;
 
@@ -65,16 +65,17 @@
     struct Group
     {
         Base::FailureDomainId domain;
-        bool isKnown = false;
+        bool hasLoad = false;
         Wire::GroupLoad load;                      // as reported
-        std::vector<Wire::ExecutorLoad> executors; // load.executors less m_pending
-        std::map<std::pair<ServiceId, std::uint32_t>, double> queued; // with m_pending
-        std::vector<Pending> pending; // sent and not in load, in order
+        std::vector<Wire::ExecutorLoad> executors; // load.executors minus pending
+        std::map<std::pair<ServiceId, std::uint32_t>, double> queued; // including pending
+        std::vector<Pending> pending; // sent but not yet in load, in the order of sending
     };
 
     static void apply(Group &group, const PlacementRequest &request);
     static void rebuild(Group &group);
-    /// \a added: more work in thousandths of a core times seconds.
+    /// Expected wait in \a group. \a added is additional work, in thousandths of a core times
+    /// seconds.
     static Base::Duration waitIn(const Group &group, const ServiceId &service,
                                  std::uint32_t priority, double added);
     std::optional<GroupId> shortestQueue(const PlacementRequest &request,
--- a/src/libs/dispatch/grouprights.cpp
+++ b/src/libs/dispatch/groupownership.cpp
@@ -1,5 +1,5 @@
-// Claims of groups, from state messages and silence.
-#include "grouprights.h"
+// Claims of groups, based on state messages and the silence of peers.
+#include "groupownership.h"
 
 #include <base/hash.h>
 #include <base/log.h>
@@ -15,8 +15,8 @@
 
 static constexpr std::uint64_t DAEMON_MASK = (1ULL << Constants::TOKEN_DAEMON_BITS) - 1;
 
-GroupRights::GroupRights(Base::DaemonId self, Base::FailureDomainId domain, Base::Timers &timers,
-                         RightsListener &listener)
+GroupOwnership::GroupOwnership(Base::DaemonId self, Base::FailureDomainId domain,
+                               Base::Timers &timers, GroupOwnershipListener &listener)
     : m_self(std::move(self))
     , m_domain(std::move(domain))
     , m_timers(timers)
@@ -24,19 +24,19 @@
     , m_started(timers.now())
 {}
 
-std::uint64_t GroupRights::roundOf(FencingToken token) const
+std::uint64_t GroupOwnership::roundOf(FencingToken token) const
 {
     return token.value() >> Constants::TOKEN_DAEMON_BITS;
 }
 
-void GroupRights::setDaemonNumber(std::uint64_t number)
+void GroupOwnership::setDaemonNumber(std::uint64_t number)
 {
     m_daemonNumber = number;
-    // Earlier daemons had lower numbers, so this is above the rounds that they began with.
+    // Daemons that started earlier have lower numbers, so this exceeds their first rounds.
     m_highestRound = std::max(m_highestRound, number * Constants::ROUNDS_PER_DAEMON);
 }
 
-void GroupRights::setGroups(const std::map<GroupId, Base::FailureDomainId> &groups)
+void GroupOwnership::setGroups(const std::map<GroupId, Base::FailureDomainId> &groups)
 {
     for (const auto &[id, domain] : groups) {
         if (m_groups.contains(id))
@@ -47,37 +47,37 @@
     }
 }
 
-/// A message that was under way when the connection broke does not show that the peer lives.
-bool GroupRights::isBroken(const Peer &peer)
+/// A message that was in transit when the connection broke does not prove that the peer is alive.
+bool GroupOwnership::isDisconnected(const Peer &peer)
 {
-    return peer.heard < peer.broken + Constants::HEARTBEAT_MS / 2;
+    return peer.lastHeard < peer.lastDisconnect + Constants::HEARTBEAT_MS / 2;
 }
 
-bool GroupRights::isAlive(const Base::DaemonId &peer) const
+bool GroupOwnership::isAlive(const Base::DaemonId &peer) const
 {
     const auto it = m_peers.find(peer);
     if (it == m_peers.end())
         return false;
     const Peer &p = it->second;
-    return m_timers.now() - p.heard <= silenceLimit(p);
+    return m_timers.now() - p.lastHeard <= silenceLimit(p);
 }
 
-Base::Duration GroupRights::silenceLimit(const Peer &peer) const
+Base::Duration GroupOwnership::silenceLimit(const Peer &peer) const
 {
-    if (isBroken(peer))
+    if (isDisconnected(peer))
         return Constants::BROKEN_PEER_SILENCE_MS;
-    const bool isRare = isLarge() && peer.domain != m_domain;
-    return isRare ? Constants::REMOTE_PEER_SILENCE_MS : Constants::PEER_SILENCE_MS;
+    const bool hasLongInterval = isLargeDeployment() && peer.domain != m_domain;
+    return hasLongInterval ? Constants::REMOTE_PEER_SILENCE_MS : Constants::PEER_SILENCE_MS;
 }
 
-void GroupRights::messageReceived(const Base::DaemonId &peer, Base::Incarnation incarnation)
+void GroupOwnership::messageReceived(const Base::DaemonId &peer, Base::Incarnation incarnation)
 {
     const auto it = m_peers.find(peer);
     if (it != m_peers.end() && it->second.incarnation == incarnation && !it->second.isLost)
-        it->second.heard = m_timers.now();
+        it->second.lastHeard = m_timers.now();
 }
 
-void GroupRights::ownerHeard(const Base::DaemonId &peer, const GroupId &id, FencingToken token)
+void GroupOwnership::confirmOwner(const Base::DaemonId &peer, const GroupId &id, FencingToken token)
 {
     const auto it = m_groups.find(id);
     if (it == m_groups.end() || !it->second.claim)
@@ -87,13 +87,14 @@
         claim.confirmed = m_timers.now();
 }
 
-void GroupRights::peerHeard(const Base::DaemonId &peer, const Base::FailureDomainId &domain,
-                            Base::Incarnation incarnation, const Wire::DispatchState &state)
+void GroupOwnership::stateReceived(const Base::DaemonId &peer, const Base::FailureDomainId &domain,
+                                   Base::Incarnation incarnation, const Wire::DispatchState &state)
 {
     const auto [it, isNew] = m_peers.try_emplace(peer);
     Peer &p = it->second;
     if (!isNew && p.incarnation != incarnation && !p.isLost) {
-        // It restarted before its silence was noticed. Its claims are those of its earlier run.
+        // The peer restarted before its silence was detected. Its claims date from its previous
+        // incarnation.
         p.isLost = true;
         ++p.dropped;
         for (auto &[id, group] : m_groups) {
@@ -105,11 +106,11 @@
     if (isNew || p.isLost)
         Base::log(LogLevel::Info, "peerHeard", {{"peer", peer}, {"incarnation", incarnation}});
     const Base::TimePoint now = m_timers.now();
-    if (now - p.heard > silenceLimit(p))
+    if (now - p.lastHeard > silenceLimit(p))
         p.heardSince = now;
     p.domain = domain;
     p.incarnation = incarnation;
-    p.heard = now;
+    p.lastHeard = now;
     p.heardAgo = std::chrono::milliseconds(state.heardAgoMs);
     p.isDraining = state.draining;
     p.capacity = std::max(1U, state.capacity);
@@ -120,21 +121,21 @@
         m_listener.tasksDropped(peer);
 }
 
-void GroupRights::peerConnected(const Base::DaemonId &peer)
+void GroupOwnership::peerConnected(const Base::DaemonId &peer)
 {
     const auto it = m_peers.find(peer);
     if (it != m_peers.end())
-        it->second.connected = m_timers.now();
+        it->second.lastConnect = m_timers.now();
 }
 
-void GroupRights::peerBroken(const Base::DaemonId &peer)
+void GroupOwnership::peerDisconnected(const Base::DaemonId &peer)
 {
     const auto it = m_peers.find(peer);
     if (it != m_peers.end())
-        it->second.broken = m_timers.now();
+        it->second.lastDisconnect = m_timers.now();
 }
 
-void GroupRights::mergeClaim(const Wire::GroupClaim &claim)
+void GroupOwnership::mergeClaim(const Wire::GroupClaim &claim)
 {
     const auto it = m_groups.find(GroupId(claim.group));
     if (it == m_groups.end())
@@ -150,20 +151,21 @@
             group.claim->confirmed = std::max(group.claim->confirmed, confirmed);
         return;
     }
-    // A claim under a name of this daemon that it does not hold is that of its earlier run.
+    // A claim in the name of this daemon that it does not hold dates from its previous
+    // incarnation.
     if (Base::DaemonId(claim.owner) == m_self)
         return;
-    const bool wasOwn = group.claim && group.claim->owner == m_self;
-    const Base::DaemonId before = group.claim ? group.claim->owner : Base::DaemonId();
-    group.claim = Claim{Base::DaemonId(claim.owner), token, confirmed, before};
+    const bool wasOwner = group.claim && group.claim->owner == m_self;
+    const Base::DaemonId previousOwner = group.claim ? group.claim->owner : Base::DaemonId();
+    group.claim = Claim{Base::DaemonId(claim.owner), token, confirmed, previousOwner};
     Base::log(LogLevel::Info, "groupOwner",
               {{"group", it->first}, {"owner", claim.owner}, {"token", token}});
-    if (wasOwn)
+    if (wasOwner)
         m_listener.groupLost(it->first);
     m_listener.groupOwnerChanged(it->first);
 }
 
-void GroupRights::fenced(const GroupId &id, bool wasAccepted)
+void GroupOwnership::fenced(const GroupId &id, bool wasAccepted)
 {
     const auto it = m_groups.find(id);
     if (it == m_groups.end() || !it->second.claim || it->second.claim->owner != m_self)
@@ -173,25 +175,26 @@
     if (now - std::exchange(group.lastFenced, now) > Constants::FENCE_MEMORY_MS)
         group.fencedCount = 0;
     ++group.fencedCount;
-    // Another daemon may own the group, and its claim be on its way. After a restart of all daemons
-    // the executors may still know a token of before; then the next round is tried at once.
+    // Another daemon may own the group, and its claim may be in transit. After a restart of all
+    // daemons the executors may still know a token from before the restart; then the next round is
+    // tried at once.
     const bool isStaleToken = !wasAccepted && group.fencedCount <= Constants::STALE_TOKEN_TRIES;
     if (!isStaleToken) {
         const int doublings = std::min(group.fencedCount - 1, Constants::MAX_FENCE_DOUBLINGS);
-        group.notBefore = now + Constants::FENCE_WAIT_MS * (1 << doublings);
+        group.earliestClaim = now + Constants::FENCE_WAIT_MS * (1 << doublings);
     }
     group.minRound = roundOf(group.claim->token) + Constants::ROUND_STEP;
     Base::log(LogLevel::Warning, "groupFenced",
               {{"group", id},
                {"token", group.claim->token},
-               {"wait", std::max(Base::Duration(0), group.notBefore - now)}});
+               {"wait", std::max(Base::Duration(0), group.earliestClaim - now)}});
     group.claim.reset();
     group.isVacant = false;
     m_listener.groupLost(id);
     m_listener.groupOwnerChanged(id);
 }
 
-void GroupRights::probed(const GroupId &id, bool isReachable)
+void GroupOwnership::probed(const GroupId &id, bool isReachable)
 {
     const auto it = m_groups.find(id);
     if (it == m_groups.end())
@@ -200,20 +203,21 @@
     const Base::TimePoint now = m_timers.now();
     group.isProbing = false;
     if (!isReachable) {
-        // When a cut heals, the owner beyond it is heard of a little later than its executors.
+        // When a partition heals, the executors become reachable slightly before the owner's claim
+        // arrives.
         group.nextProbe = now + Constants::PROBE_RETRY_MS;
-        group.notBefore = std::max(group.notBefore, now + Constants::HEAL_WAIT_MS);
-        // All daemons on this side have waited through the cut. Their order counts from its end, or
-        // they would all claim at once.
-        group.vacantSince = group.notBefore;
+        group.earliestClaim = std::max(group.earliestClaim, now + Constants::HEAL_WAIT_MS);
+        // The group has been vacant during the whole partition for all daemons on this side. The
+        // delays by rank start at its end, or all of them would claim at the same time.
+        group.vacantSince = group.earliestClaim;
         return;
     }
-    // Only if the claim is still due: the owner may have been heard meanwhile.
-    if (now >= group.notBefore && isClaimDue(id, group))
+    // The owner may have been heard from since the probe was sent.
+    if (now >= group.earliestClaim && isClaimDue(id, group))
         claim(id, group);
 }
 
-bool GroupRights::isClaimValid(const Group &group) const
+bool GroupOwnership::isClaimValid(const Group &group) const
 {
     if (!group.claim)
         return false;
@@ -225,12 +229,12 @@
         return age <= Constants::PEER_SILENCE_MS + Constants::CLAIM_MARGIN_MS;
     if (peer->second.isDraining)
         return false;
-    if (isBroken(peer->second))
+    if (isDisconnected(peer->second))
         return age <= Constants::BROKEN_PEER_SILENCE_MS;
     return age <= silenceLimit(peer->second) + Constants::CLAIM_MARGIN_MS;
 }
 
-std::optional<Base::DaemonId> GroupRights::owner(const GroupId &group) const
+std::optional<Base::DaemonId> GroupOwnership::owner(const GroupId &group) const
 {
     const auto it = m_groups.find(group);
     if (it == m_groups.end() || !it->second.claim)
@@ -238,16 +242,16 @@
     return it->second.claim->owner;
 }
 
-bool GroupRights::isRemote(const Base::DaemonId &peer) const
+bool GroupOwnership::isRemote(const Base::DaemonId &peer) const
 {
     const auto it = m_peers.find(peer);
     return it != m_peers.end() && it->second.domain != m_domain;
 }
 
-std::size_t GroupRights::rank(const GroupId &id, const Group &group) const
+std::size_t GroupOwnership::rank(const GroupId &id, const Group &group) const
 {
-    // Daemons of the group's own domain come first. The hash, weighted by the capacity of the
-    // hosts, spreads the groups over them.
+    // Daemons of the group's own domain come first. Among them, weighted rendezvous hashing
+    // distributes the groups in proportion to the capacity of the hosts.
     const auto key = [&](const Base::DaemonId &daemon, const Base::FailureDomainId &domain,
                          std::uint32_t capacity) {
         const double uniform =
@@ -263,7 +267,7 @@
         }));
 }
 
-void GroupRights::claim(const GroupId &id, Group &group)
+void GroupOwnership::claim(const GroupId &id, Group &group)
 {
     m_highestRound = std::max(m_highestRound + 1, group.minRound);
     const FencingToken token((m_highestRound << Constants::TOKEN_DAEMON_BITS)
@@ -272,14 +276,14 @@
               {{"group", id},
                {"token", token},
                {"before", group.claim ? group.claim->owner.value() : std::string("none")}});
-    const Base::DaemonId before = group.claim ? group.claim->owner : Base::DaemonId();
-    group.claim = Claim{m_self, token, m_timers.now(), before};
+    const Base::DaemonId previousOwner = group.claim ? group.claim->owner : Base::DaemonId();
+    group.claim = Claim{m_self, token, m_timers.now(), previousOwner};
     group.isVacant = false;
     m_listener.groupClaimed(id, token);
     m_listener.groupOwnerChanged(id);
 }
 
-bool GroupRights::isClaimDue(const GroupId &id, Group &group)
+bool GroupOwnership::isClaimDue(const GroupId &id, Group &group)
 {
     const Base::TimePoint now = m_timers.now();
     if (m_daemonNumber == 0 || m_isDraining)
@@ -288,10 +292,12 @@
         return false;
     if (isClaimValid(group)) {
         group.isVacant = false;
-        // The claim of a daemon elsewhere stands in until a daemon of the domain is up again.
+        // A daemon of another domain owns the group only until one of the group's own domain is up
+        // again.
         const auto peer = m_peers.find(group.claim->owner);
-        const bool isForeign = peer != m_peers.end() && peer->second.domain != group.domain;
-        return isForeign && m_domain == group.domain
+        const bool isOwnerOutsideDomain =
+            peer != m_peers.end() && peer->second.domain != group.domain;
+        return isOwnerOutsideDomain && m_domain == group.domain
                && now - m_started > Constants::HOME_CLAIM_DELAY_MS && rank(id, group) == 0;
     }
     if (!group.isVacant) {
@@ -301,7 +307,7 @@
     return now - group.vacantSince >= Constants::CLAIM_RANK_DELAY_MS * rank(id, group);
 }
 
-void GroupRights::tickGroup(const GroupId &id, Group &group)
+void GroupOwnership::tickGroup(const GroupId &id, Group &group)
 {
     const Base::TimePoint now = m_timers.now();
     if (group.claim && group.claim->owner == m_self) {
@@ -314,25 +320,26 @@
     m_listener.probeGroup(id);
 }
 
-void GroupRights::tick()
+void GroupOwnership::tick()
 {
     const Base::TimePoint now = m_timers.now();
     if (now - std::exchange(m_lastTick, now) > Constants::PAUSE_MS)
-        m_quietUntil = now + Constants::CLAIM_START_DELAY_MS;
-    if (now < m_quietUntil)
+        m_detectionSuspendedUntil = now + Constants::CLAIM_START_DELAY_MS;
+    if (now < m_detectionSuspendedUntil)
         return;
     std::vector<Base::DaemonId> lost;
     for (auto &[id, peer] : m_peers) {
-        // A daemon that hears nothing from this one counts as lost as well: it treats this one so.
-        // Right after a cut its statement is of the time before.
+        // A daemon that receives nothing from this one counts as lost too, since it considers this
+        // one lost. Right after a partition heals, its heardAgo may still date from before.
         const Base::Duration limit = silenceLimit(peer);
-        const bool isDeaf = peer.heardAgo > limit && now - peer.heardSince > limit * 2;
-        if (!peer.isLost && (!isAlive(id) || isDeaf)) {
+        const bool isNotReceiving = peer.heardAgo > limit && now - peer.heardSince > limit * 2;
+        if (!peer.isLost && (!isAlive(id) || isNotReceiving)) {
             peer.isLost = true;
             ++peer.dropped;
             lost.push_back(id);
-            Base::log(LogLevel::Warning, "peerLost",
-                      {{"peer", id}, {"silence", now - peer.heard}, {"heardAgo", peer.heardAgo}});
+            Base::log(
+                LogLevel::Warning, "peerLost",
+                {{"peer", id}, {"silence", now - peer.lastHeard}, {"heardAgo", peer.heardAgo}});
         }
     }
     for (const Base::DaemonId &it : lost)
@@ -343,29 +350,29 @@
         tickGroup(id, group);
 }
 
-std::vector<Base::DaemonId> GroupRights::peersToReset()
+std::vector<Base::DaemonId> GroupOwnership::peersToReset()
 {
     const Base::TimePoint now = m_timers.now();
     std::vector<Base::DaemonId> peers;
     for (auto &[id, peer] : m_peers) {
         const Base::Duration limit = silenceLimit(peer);
-        if (!isAlive(id) || peer.heardAgo < limit || now - peer.connected < limit) {
+        if (!isAlive(id) || peer.heardAgo < limit || now - peer.lastConnect < limit) {
             continue;
         }
-        peer.connected = now;
+        peer.lastConnect = now;
         peers.push_back(id);
     }
     return peers;
 }
 
-void GroupRights::noteDropped(const Base::DaemonId &peer)
+void GroupOwnership::recordDroppedTasks(const Base::DaemonId &peer)
 {
     const auto it = m_peers.find(peer);
     if (it != m_peers.end())
         ++it->second.dropped;
 }
 
-Wire::DispatchState GroupRights::stateFor(const Base::DaemonId &peer) const
+Wire::DispatchState GroupOwnership::stateFor(const Base::DaemonId &peer) const
 {
     const Base::TimePoint now = m_timers.now();
     const auto age = [now](Base::TimePoint time) {
@@ -375,18 +382,19 @@
     Wire::DispatchState state;
     state.draining = m_isDraining;
     const auto it = m_peers.find(peer);
-    state.heardAgoMs = it == m_peers.end() ? 0 : age(it->second.heard);
+    state.heardAgoMs = it == m_peers.end() ? 0 : age(it->second.lastHeard);
     state.capacity = m_capacity;
     state.dropped = it == m_peers.end() ? 0 : it->second.dropped;
-    // In a large deployment the claims of others are left out: they grow with the square of its
-    // size. The earlier owner is told, who may not hear the new one.
-    const bool areAllTold = !isLarge();
+    // In a large deployment the claims of others are omitted, because their number grows with the
+    // square of its size. The previous owner is informed anyway, as it may not hear the new owner.
+    const bool includesAllClaims = !isLargeDeployment();
     for (const auto &[id, group] : m_groups) {
         if (!group.claim)
             continue;
         const Claim &claim = *group.claim;
-        const bool isTold = areAllTold || claim.owner == m_self || claim.before == peer;
-        if (isTold && isClaimValid(group)) {
+        const bool isIncluded =
+            includesAllClaims || claim.owner == m_self || claim.previousOwner == peer;
+        if (isIncluded && isClaimValid(group)) {
             state.claims.push_back(
                 {id.value(), claim.owner.value(), claim.token.value(), age(claim.confirmed)});
         }
--- a/src/libs/dispatch/jobcoordinator.cpp
+++ b/src/libs/dispatch/jobcoordinator.cpp
@@ -1,4 +1,4 @@
-// Life of a job.
+// Acceptance, placement, tracking and completion of jobs.
 #include "jobcoordinator.h"
 
 #include "dispatchconstants.h"
@@ -15,7 +15,7 @@
 using Base::LogLevel;
 using Wire::TaskReportState;
 
-/// Placements of one step in a row, each without the groups that turned out to be unreachable.
+/// Consecutive attempts to place a step, each without the groups found to be unreachable.
 static constexpr int MAX_PLACEMENT_ROUNDS = 4;
 
 JobCoordinator::JobCoordinator(Base::Timers &timers, GroupDirectory &directory, GroupSender &sender)
@@ -26,7 +26,7 @@
 
 JobCoordinator::~JobCoordinator() = default;
 
-/// Longest chain of estimated run times through the steps.
+/// Length of the critical path through the steps, from the estimated run times.
 static Base::Duration longestChain(const JobSpec &spec)
 {
     std::vector<Base::Duration> ends(spec.steps.size(), Base::Duration(0));
@@ -54,23 +54,23 @@
     const QueuePolicy &policy = request.policy;
     const Base::Duration objective = scaled(chain, policy.stretch) + policy.targetCompletion;
     const auto wait = m_directory.expectedWait(policy.service, policy.priority);
-    const Base::Duration useful =
+    const Base::Duration usefulTime =
         std::min(scaled(objective, Constants::LATE_FACTOR), request.timeLeft);
-    if (m_closing && now + chain * 2 > *m_closing) {
+    if (m_shutdownDeadline && now + chain * 2 > *m_shutdownDeadline) {
         ++m_counters.rejected;
         Base::log(LogLevel::Info, "jobRejected",
                   {{"job", id},
                    {"queue", policy.queue},
                    {"reason", "draining"},
                    {"chain", chain},
-                   {"timeLeft", *m_closing - now}});
+                   {"timeLeft", *m_shutdownDeadline - now}});
         callback({JobOutcome::Rejected, "draining", std::chrono::seconds(1)});
         return;
     }
-    // Estimates are off by half and more, so that a job is not rejected for its estimate alone
-    // while nothing waits.
-    const bool isQueueTooLong = wait && wait->count() > 0 && *wait + chain > useful
-                                && *wait > scaled(useful, Constants::FREE_WAIT_SHARE);
+    // Estimates can be off by half or more, so a job is not rejected for its estimate alone while
+    // there is no queue.
+    const bool isQueueTooLong = wait && wait->count() > 0 && *wait + chain > usefulTime
+                                && *wait > scaled(usefulTime, Constants::FREE_WAIT_SHARE);
     if (!wait || isQueueTooLong) {
         ++m_counters.rejected;
         const char *reason = wait ? "overloaded" : "noExecutors";
@@ -80,7 +80,7 @@
                    {"reason", reason},
                    {"expectedWait", wait ? *wait : Base::Duration(0)},
                    {"chain", chain},
-                   {"useful", useful}});
+                   {"useful", usefulTime}});
         callback({JobOutcome::Rejected, reason, wait ? *wait : Base::Duration(0)});
         return;
     }
@@ -139,15 +139,15 @@
     }
 }
 
-/// A group counts as a place until its owner turns out to be unreachable. Its tasks then go
-/// elsewhere at once.
+/// A group is a candidate until its owner turns out to be unreachable. Tasks placed there are then
+/// placed again at once, in other groups.
 void JobCoordinator::placeStep(const JobId &id, Job &job, std::size_t step)
 {
     for (int i = 0; i < MAX_PLACEMENT_ROUNDS && !placeTasks(id, job, step); ++i) {
     }
 }
 
-/// Returns false if a group turned out to be unreachable, so that tasks are left to place.
+/// Returns false if a group turned out to be unreachable, so that some tasks are still unplaced.
 bool JobCoordinator::placeTasks(const JobId &id, Job &job, std::size_t step)
 {
     std::vector<std::uint32_t> waiting;
@@ -180,10 +180,10 @@
                                const std::vector<std::uint32_t> &indices, bool mayHaveStarted)
 {
     const Base::TimePoint now = m_timers.now();
-    // After a pause of this process the caller may have sent the job elsewhere.
+    // After a pause of this process the caller may have submitted the job to another daemon.
     if (now >= job.deadline)
         return false;
-    const auto left = [now](Base::TimePoint time) {
+    const auto millisecondsUntil = [now](Base::TimePoint time) {
         return static_cast<std::uint64_t>(
             std::max<std::int64_t>(0, Base::toMilliseconds(time - now)));
     };
@@ -201,8 +201,8 @@
     batch.memoryMb = spec.shape.memoryMb;
     batch.gpus = spec.shape.gpus;
     batch.estimateMs = static_cast<std::uint64_t>(Base::toMilliseconds(spec.estimate));
-    batch.objectiveMs = left(job.objective);
-    batch.deadlineMs = left(job.deadline);
+    batch.objectiveMs = millisecondsUntil(job.objective);
+    batch.deadlineMs = millisecondsUntil(job.deadline);
     batch.ageMs = static_cast<std::uint64_t>(Base::toMilliseconds(now - job.accepted));
     batch.requiredLabel = spec.requiredLabel;
     batch.rack = spec.preferredRack;
@@ -228,7 +228,7 @@
         task.group = group;
         task.sentSequence = batch.sequence;
         task.needsClaim = false;
-        // The owner that is told now may start the task elsewhere and be lost before it reports so.
+        // The owner may start the task on another executor and be lost before it reports that.
         if (mayHaveStarted)
             task.executor.clear();
     }
@@ -242,7 +242,7 @@
     for (const Wire::TaskReport &it : reports.reports) {
         const auto job = m_jobs.find(id);
         if (job == m_jobs.end()) {
-            // The job has ended here; its tasks at the group are of no use.
+            // The job has already ended, so its tasks at the group are no longer needed.
             if (it.state == static_cast<std::uint8_t>(TaskReportState::Started)) {
                 m_sender.sendToOwner(group, Wire::StopJob{reports.group, reports.job});
                 return;
@@ -266,8 +266,8 @@
     Task &task = job.steps[report.step][report.index];
     if (task.state != TaskState::AtGroup || task.group != group)
         return;
-    // A report that crosses a claim may be of an earlier owner. The claim is answered by another
-    // one.
+    // A report that was sent before the last batch or claim arrived may be from an earlier owner.
+    // The claim is answered by another report.
     if (reports.batchesSeen < task.sentSequence)
         return;
     const auto state = static_cast<TaskReportState>(report.state);
@@ -278,7 +278,7 @@
                {"run", report.run},
                {"state", static_cast<int>(report.state)},
                {"minRun", task.minRun}});
-    // A report about an earlier run of a task that was sent to the same group again.
+    // A report about an earlier run of a task that has since been sent to the same group again.
     if (state != TaskReportState::Returned && report.run < task.minRun)
         return;
     switch (state) {
@@ -372,19 +372,19 @@
 void JobCoordinator::claimTasks(const GroupId &group)
 {
     for (auto &[id, job] : m_jobs) {
-        bool isConcerned = false;
+        bool hasTasksAtGroup = false;
         for (auto &step : job.steps) {
             for (Task &it : step) {
                 if (it.state == TaskState::AtGroup && it.group == group)
-                    isConcerned = it.needsClaim = true;
+                    hasTasksAtGroup = it.needsClaim = true;
             }
         }
-        if (isConcerned)
+        if (hasTasksAtGroup)
             sendClaims(id, job);
     }
 }
 
-/// A claim that can't be sent, because the group has no owner now, is repeated by tick().
+/// A claim that cannot be sent because the owner is unknown or unreachable is retried by tick().
 void JobCoordinator::sendClaims(const JobId &id, Job &job)
 {
     for (std::size_t step = 0; step < job.steps.size(); ++step) {
@@ -401,7 +401,7 @@
     }
 }
 
-void JobCoordinator::endAll()
+void JobCoordinator::abortAll()
 {
     while (!m_jobs.empty())
         finish(m_jobs.begin(), {JobOutcome::TimedOut, "draining", {}});
--- a/src/libs/dispatch/jobcoordinator.h
+++ b/src/libs/dispatch/jobcoordinator.h
@@ -1,4 +1,4 @@
-// Jobs that this daemon has received and answers when they have ended.
+// Coordinates the jobs that were submitted to this daemon.
 #pragma once
 
 #include "groupdirectory.h"
@@ -11,16 +11,16 @@
 namespace Dispatch {
 
 enum class JobOutcome {
-    Completed, ///< Every task has ended as done.
-    Failed,    ///< A task failed as often as the queue allows.
-    Rejected,  ///< No task was ever started, and none will be.
-    TimedOut,  ///< Tasks were started, and there is no result in time.
+    Completed, ///< All tasks are done.
+    Failed,    ///< A task used up the attempts that its queue allows.
+    Rejected,  ///< No task was started, and none will be.
+    TimedOut,  ///< There was no result in time; tasks may have been started.
 };
 
 struct JobResult
 {
     JobOutcome outcome = JobOutcome::Completed;
-    std::string reason;           // for logs and the caller, if not completed
+    std::string reason;           // if not completed; for logs and the caller
     Base::Duration retryAfter{0}; // if rejected; 0 if unknown
 };
 
@@ -37,7 +37,7 @@
 public:
     virtual ~GroupSender() = default;
 
-    /// Returns false if the owner is not known or not connected; then nothing was sent.
+    /// Returns false, without sending, if the owner is unknown or not connected.
     virtual bool sendToOwner(const GroupId &group, const Wire::Message &message) = 0;
     /// Whether sendToOwner() would send.
     virtual bool isOwnerReachable(const GroupId &group) const = 0;
@@ -53,8 +53,8 @@
     std::uint64_t cancelled = 0;
 };
 
-/// Follows each job from its acceptance to its answer. A task is at one group at a time, and goes
-/// to another one only after the first has stated that it has no run of it.
+/// Tracks each job from its acceptance to its result. A task is assigned to one group at a time,
+/// and is reassigned only after that group has reported that it has no run of the task.
 class JobCoordinator
 {
 public:
@@ -64,22 +64,23 @@
     ~JobCoordinator();
 
     /// Calls \a callback once with the result, possibly before this function returns. A job that
-    /// can't be served is rejected at once.
+    /// cannot be served is rejected at once.
     void submit(JobRequest request, Callback callback);
-    /// Nobody waits for the job any more; its callback is not called.
+    /// Stops the job, whose caller no longer waits for it; its callback is not called.
     void cancel(const JobId &job);
     bool contains(const JobId &job) const { return m_jobs.contains(job); }
 
     void reportsReceived(const Wire::TaskReports &reports);
-    /// The group has another owner, or messages to or from its owner may have been lost: states
-    /// again which tasks are at the group, so that the owner reports on each of them.
+    /// Sends the tasks that are at \a group to its owner again, so that the owner reports on each
+    /// of them. Needed if the owner has changed, or messages to or from it may have been lost.
     void claimTasks(const GroupId &group);
     void tick();
 
-    /// From now on jobs are rejected that would not end before \a end, by twice their estimate.
-    void setClosing(Base::TimePoint end) { m_closing = end; }
-    /// Gives all jobs up, so that their callers get an answer before the process ends.
-    void endAll();
+    /// Makes submit() reject jobs that would not end before \a deadline, assuming that they take
+    /// twice their estimate.
+    void setShutdownDeadline(Base::TimePoint deadline) { m_shutdownDeadline = deadline; }
+    /// Ends all jobs as timed out, so that their callers get an answer before the process exits.
+    void abortAll();
 
     std::size_t jobCount() const { return m_jobs.size(); }
     const JobCounters &counters() const { return m_counters; }
@@ -91,11 +92,11 @@
     {
         TaskState state = TaskState::Waiting;
         GroupId group;                  // if AtGroup
-        std::uint64_t sentSequence = 0; // of the last batch that named it, while AtGroup
+        std::uint64_t sentSequence = 0; // of the last batch that included it, while AtGroup
         std::uint64_t minRun = 1;
         std::uint32_t failures = 0;
-        std::string executor;    // where its run was reported; empty after a claim
-        bool needsClaim = false; // AtGroup, and the owner has yet to be asked about it
+        std::string executor; // on which its run was reported to have started; empty after a claim
+        bool needsClaim = false; // AtGroup, and the claim has not been sent to the owner yet
     };
 
     struct Job
@@ -106,7 +107,7 @@
         Base::TimePoint objective;
         Base::TimePoint deadline;
         std::vector<std::vector<Task>> steps;
-        std::vector<std::uint32_t> remaining; // by step: tasks that are not done
+        std::vector<std::uint32_t> remaining; // by step: number of tasks that are not done
     };
 
     using JobMap = std::map<JobId, Job>;
@@ -129,7 +130,7 @@
     GroupSender &m_sender;
     JobMap m_jobs;
     std::map<GroupId, std::uint64_t> m_sequences; // last batch sent to each group
-    std::optional<Base::TimePoint> m_closing;
+    std::optional<Base::TimePoint> m_shutdownDeadline;
     JobCounters m_counters;
 };
 
--- a/src/libs/dispatch/queuetable.cpp
+++ b/src/libs/dispatch/queuetable.cpp
@@ -1,4 +1,4 @@
-// Versions and matching of queues.
+// Versions of the desired state and route matching.
 #include "queuetable.h"
 
 #include <algorithm>
@@ -23,7 +23,7 @@
 std::optional<QueueTable::Match> QueueTable::match(std::string_view host,
                                                    std::string_view path) const
 {
-    // The port is not part of the name.
+    // Routes name hosts without a port.
     const std::size_t colon = host.rfind(':');
     if (colon != std::string_view::npos)
         host = host.substr(0, colon);
--- a/src/libs/dispatch/taskqueue.cpp
+++ b/src/libs/dispatch/taskqueue.cpp
@@ -1,4 +1,4 @@
-// Ordered set of waiting tasks with running sums.
+// Ordered set of waiting tasks with incrementally updated load sums.
 #include "taskqueue.h"
 
 #include <algorithm>
@@ -30,7 +30,7 @@
     load->second -= workOf(entry);
     m_ordered.erase(ordered);
     m_byTask.erase(it);
-    // The sums would drift by rounding if they were never reset.
+    // Rounding errors in the sums would accumulate if they were never reset.
     if (m_byTask.empty())
         m_load.clear();
     return true;
--- a/src/libs/dispatch/taskqueue.h
+++ b/src/libs/dispatch/taskqueue.h
@@ -1,4 +1,4 @@
-// Tasks that wait for room in one group, in the order in which they are to start.
+// Tasks that wait for free resources in one group, in scheduling order.
 #pragma once
 
 #include "dispatchtypes.h"
@@ -9,9 +9,9 @@
 
 namespace Dispatch {
 
-/// Order: priority of the queue first, as the desired state gives it; within one priority the
-/// earliest objective, so that under overload the requests that can still be in time come first.
-/// Tasks whose objective has passed come after all others of their priority.
+/// Sorted by the priority of the queue in the desired state, then by the earliest objective. Tasks
+/// whose objective has passed come after all others of their priority, so that under overload
+/// requests that can still meet their objective come first.
 class TaskQueue
 {
 public:
@@ -20,7 +20,7 @@
         TaskId task;
         ServiceId service;
         std::uint32_t priority = 0;
-        Base::TimePoint objective; // latest end of the job that is in time
+        Base::TimePoint objective; // latest time at which the job is to end
         Resources shape;
         Base::Duration estimate{0};
     };
@@ -30,7 +30,7 @@
     bool isEmpty() const { return m_byTask.empty(); }
     std::size_t size() const { return m_byTask.size(); }
 
-    /// The first \a limit tasks in order.
+    /// The first \a limit tasks in scheduling order.
     std::vector<Entry> head(std::size_t limit) const;
 
     /// Waiting work by service and priority, in thousandths of a core times seconds.
@@ -54,7 +54,7 @@
     };
 
     std::map<Key, Entry> m_ordered;
-    std::map<TaskId, Key> m_byTask;                               // same tasks as m_ordered
+    std::map<TaskId, Key> m_byTask;                               // keys in m_ordered
     std::map<std::pair<ServiceId, std::uint32_t>, double> m_load; // sums over m_ordered
     std::uint64_t m_lastSequence = 0;
 };
--- a/tests/auto/dispatch/tst_dispatch.cpp
+++ b/tests/auto/dispatch/tst_dispatch.cpp
@@ -298,7 +298,7 @@
 // taken 4.5 s after SIGTERM and given up).
 BOOST_AUTO_TEST_CASE(drainingDaemonRejectsWhatItCannotFinish)
 {
-    node("a1").jobs().setClosing(clock.now() + 1s);
+    node("a1").jobs().setShutdownDeadline(clock.now() + 1s);
     submit("a1", "short", 1, {6800, 64, 0}, 60ms);
     submit("a1", "long", 1, {6800, 64, 0}, 900ms);
     BOOST_TEST(count(JobOutcome::Rejected) == 1U);
--- a/tests/auto/dispatch/tst_dispatchparts.cpp
+++ b/tests/auto/dispatch/tst_dispatchparts.cpp
@@ -3,7 +3,7 @@
 #include <dispatch/dispatchconstants.h>
 #include <dispatch/executorledger.h>
 #include <dispatch/groupdirectory.h>
-#include <dispatch/grouprights.h>
+#include <dispatch/groupownership.h>
 #include <dispatch/jobcoordinator.h>
 #include <dispatch/queuetable.h>
 #include <dispatch/taskqueue.h>
@@ -277,7 +277,7 @@
 
 BOOST_AUTO_TEST_SUITE(rights)
 
-class IgnoringListener : public RightsListener
+class IgnoringListener : public GroupOwnershipListener
 {
 public:
     void groupClaimed(const GroupId &, FencingToken) override {}
@@ -295,17 +295,17 @@
     TestSupport::ManualTimers timers;
     IgnoringListener listener;
     const Base::FailureDomainId domain("d");
-    GroupRights rights(Base::DaemonId("a"), domain, timers, listener);
+    GroupOwnership rights(Base::DaemonId("a"), domain, timers, listener);
     const Base::DaemonId peer("b");
     Wire::DispatchState state;
-    rights.peerHeard(peer, domain, Base::Incarnation(1), state);
+    rights.stateReceived(peer, domain, Base::Incarnation(1), state);
     timers.advance(5s);
     state.heardAgoMs = 5000;
     rights.peerConnected(peer);
-    rights.peerHeard(peer, domain, Base::Incarnation(1), state);
+    rights.stateReceived(peer, domain, Base::Incarnation(1), state);
     BOOST_TEST(rights.peersToReset().empty());
     timers.advance(Constants::PEER_SILENCE_MS);
-    rights.peerHeard(peer, domain, Base::Incarnation(1), state);
+    rights.stateReceived(peer, domain, Base::Incarnation(1), state);
     BOOST_TEST(rights.peersToReset().size() == 1U);
 }
 
