--- a/tests/auto/dispatch/dispatchcluster.h
+++ b/tests/auto/dispatch/dispatchcluster.h
@@ -1,4 +1,4 @@
-// Several daemons with the real dispatch over fakes of executors, connections and clock.
+// Several daemons that run the real dispatch code with fake executors, connections and clock.
 #pragma once
 
 #include "fakeexecutors.h"
@@ -17,7 +17,7 @@
 using TestSupport::FakePeerPort;
 using TestSupport::ProcessTimers;
 
-/// One run of a daemon.
+/// One incarnation of a daemon.
 struct Daemon
 {
     Daemon(FakePeerNetwork &network, FakeExecutors &executors, const std::string &name,
@@ -87,7 +87,7 @@
             startDaemon(name);
     }
 
-    /// The process ends: its callers lose their connections, its jobs are forgotten.
+    /// Terminates the process: its callers lose their connections, and its jobs are lost.
     void kill(const std::string &name)
     {
         if (!daemons.contains(name))
@@ -112,7 +112,7 @@
             connect(a, b);
     }
 
-    /// Cuts a failure domain off from daemons and executors of the others, or restores it.
+    /// Partitions a failure domain from the daemons and executors of the others, or reconnects it.
     void setDomainCut(const std::string &domain, bool isCut)
     {
         for (const auto &[name, own] : domains) {
@@ -140,7 +140,7 @@
         int answers = 0;
     };
 
-    /// Submits a job of \a width tasks at \a daemon; \a id may be that of an earlier one.
+    /// Submits a job of \a width tasks to \a daemon; \a id may be that of an earlier job.
     void submit(const std::string &daemon, const std::string &id, std::uint32_t width,
                 Resources shape = {6800, 64, 0}, Base::Duration estimate = 60ms,
                 Base::Duration timeLeft = 2500ms, std::uint32_t priority = 0)
@@ -200,7 +200,7 @@
             daemon->node.setExecutors(executors.infos());
     }
 
-    /// Names of the daemons that believe to own \a group.
+    /// Names of the daemons that consider themselves owners of \a group.
     std::vector<std::string> owners(const std::string &group)
     {
         std::vector<std::string> names;
--- a/tests/auto/dispatch/tst_dispatch.cpp
+++ b/tests/auto/dispatch/tst_dispatch.cpp
@@ -1,4 +1,4 @@
-// Cases of several daemons: each names the failure that it guards against.
+// Tests of the dispatch with several daemons.
 #include "dispatchcluster.h"
 
 #include <boost/test/unit_test.hpp>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Two failure domains with two daemons and four executors each, settled.
+/// Two failure domains with two daemons and four executors each, after all groups have an owner.
 struct Fixture : DispatchCluster
 {
     Fixture()
@@ -50,7 +50,7 @@
     check();
 }
 
-// A job that is wider than the room of its own domain uses that of the others at once.
+// A job with more tasks than its own domain can run uses the other domains at once.
 BOOST_AUTO_TEST_CASE(wideJobUsesAllDomains)
 {
     submit("a1", "job", 16); // 2 tasks fit on each of 8 executors
@@ -59,7 +59,7 @@
     check();
 }
 
-// Tasks that find no room wait and are never started beyond the capacity.
+// Tasks that do not fit wait and are never started beyond the capacity.
 BOOST_AUTO_TEST_CASE(overloadWaitsWithinCapacity)
 {
     for (int i = 0; i < 6; ++i)
@@ -69,7 +69,7 @@
     check();
 }
 
-BOOST_AUTO_TEST_CASE(longQueueIsRejectedAtOnce)
+BOOST_AUTO_TEST_CASE(jobsAreRejectedAtOnceIfTheQueueIsTooLong)
 {
     for (int i = 0; i < 60; ++i)
         submit("a1", "long" + std::to_string(i), 16, {6800, 64, 0}, 1s, 2500ms);
@@ -90,7 +90,7 @@
     check();
 }
 
-// After the loss of the owner the running tasks go on under the new one.
+// Running tasks continue under the new owner when the previous one is lost.
 BOOST_AUTO_TEST_CASE(takeoverKeepsRunningTasks)
 {
     executors.chooseRun = [](const StartOrder &, const ExecutorInfo &) {
@@ -119,7 +119,7 @@
     check();
 }
 
-// A paused owner is replaced; when it wakes, its orders are refused and it steps down.
+// A paused owner is replaced. When it resumes, its orders are refused and it gives up the group.
 BOOST_AUTO_TEST_CASE(pausedOwnerIsFenced)
 {
     const std::string owner = ownerOf("a");
@@ -139,8 +139,8 @@
     check();
 }
 
-// A start without an answer is resolved before the task is started elsewhere, also if the order is
-// carried out seconds later.
+// The outcome of an unanswered start is determined before the task is started elsewhere, even if
+// the order is carried out seconds later.
 BOOST_AUTO_TEST_CASE(lateStartRunsNothingTwice)
 {
     std::mt19937_64 random(7);
@@ -159,9 +159,9 @@
     check();
 }
 
-// scale-2 of the users' days: a zone that is cut off keeps its own group and claims no other, so
-// that no owner is fenced when the cut heals.
-BOOST_AUTO_TEST_CASE(cutDomainClaimsNothingBeyondTheCut)
+// Guards against owners being fenced when a partition heals (seen in the users' scenario scale-2):
+// a partitioned zone keeps its own group and claims no other.
+BOOST_AUTO_TEST_CASE(isolatedDomainClaimsNoOtherGroup)
 {
     const std::string ownerA = ownerOf("a");
     const std::string ownerB = ownerOf("b");
@@ -180,9 +180,9 @@
     check();
 }
 
-// A coordinator that was out of touch claims its tasks while the owner's drop of them is under way:
-// the task must not be started by both.
-BOOST_AUTO_TEST_CASE(claimAndDropCross)
+// Guards against a task being started twice when a coordinator that was disconnected claims its
+// tasks while the owner is dropping them.
+BOOST_AUTO_TEST_CASE(taskClaimRacesWithDrop)
 {
     executors.chooseRun = [](const StartOrder &, const ExecutorInfo &) {
         return std::pair<Base::Duration, RunEnd>(800ms, RunEnd::Done);
@@ -200,9 +200,9 @@
     check();
 }
 
-// The registrations of executors lapse while their domain is cut off and come back one by one. A
-// new owner that does not list an executor must not start elsewhere what may run there.
-BOOST_AUTO_TEST_CASE(takeoverWithAnIncompleteList)
+// Registrations of executors expire while their domain is partitioned, and return one by one. A new
+// owner whose list lacks an executor must not start tasks elsewhere that may run on that executor.
+BOOST_AUTO_TEST_CASE(takeoverWithIncompleteExecutorList)
 {
     executors.chooseRun = [](const StartOrder &, const ExecutorInfo &) {
         return std::pair<Base::Duration, RunEnd>(700ms, RunEnd::Done);
@@ -238,7 +238,7 @@
     check();
 }
 
-BOOST_AUTO_TEST_CASE(darkExecutorIsGivenUpAfterItsLease)
+BOOST_AUTO_TEST_CASE(crashedExecutorIsGivenUpAfterItsLease)
 {
     executors.chooseRun = [](const StartOrder &, const ExecutorInfo &) {
         return std::pair<Base::Duration, RunEnd>(500ms, RunEnd::Done);
@@ -251,7 +251,7 @@
     check();
 }
 
-// Nobody waits for the tasks of a job that its caller has left.
+// The tasks of a job are stopped when its caller cancels it.
 BOOST_AUTO_TEST_CASE(cancelledJobIsStopped)
 {
     executors.chooseRun = [](const StartOrder &, const ExecutorInfo &) {
@@ -265,8 +265,8 @@
     check();
 }
 
-// The tasks of a lost daemon are stopped before its callers send their jobs again 1.3 s later.
-BOOST_AUTO_TEST_CASE(orphansAreStoppedBeforeTheJobComesAgain)
+// The tasks of a lost daemon are stopped before its callers resubmit their jobs 1.3 s later.
+BOOST_AUTO_TEST_CASE(orphanedTasksAreStoppedBeforeTheJobIsResubmitted)
 {
     executors.chooseRun = [](const StartOrder &, const ExecutorInfo &) {
         return std::pair<Base::Duration, RunEnd>(5s, RunEnd::Done);
@@ -281,7 +281,7 @@
     check();
 }
 
-// A drained daemon gives its groups up to a daemon of the same domain.
+// A draining daemon hands its groups over to a daemon of the same domain.
 BOOST_AUTO_TEST_CASE(drainHandsGroupsOver)
 {
     const std::string owner = ownerOf("a");
@@ -294,8 +294,8 @@
     check();
 }
 
-// While a daemon drains it takes no job that would outlast the process (users' finding: a request
-// taken 4.5 s after SIGTERM and given up).
+// A draining daemon accepts no job that would outlast the process. Users saw a request that was
+// accepted 4.5 s after SIGTERM and then abandoned.
 BOOST_AUTO_TEST_CASE(drainingDaemonRejectsWhatItCannotFinish)
 {
     node("a1").jobs().setShutdownDeadline(clock.now() + 1s);
@@ -307,13 +307,13 @@
     check();
 }
 
-// After the loss of all daemons the executors still know the tokens of before.
+// When all daemons restart, the executors still know the tokens from before the restart.
 BOOST_AUTO_TEST_CASE(allDaemonsRestart)
 {
     for (int i = 0; i < 3; ++i) {
         for (const auto &[name, domain] : std::map(domains))
             kill(name);
-        lastNumber += 20; // the store's version rises with every registration and heartbeat
+        lastNumber += 20; // the store's version increases with every registration and heartbeat
         startAll();
         run(1200ms);
         submit("a1", "job" + std::to_string(i), 4);
@@ -323,8 +323,9 @@
     check();
 }
 
-// A job that is wider than the own domain is completed while an owner can't be reached. That its
-// tasks go elsewhere at once is shown by tasksOfAnUnreachableOwnerGoElsewhereAtOnce.
+// A job with more tasks than its own domain can run is completed while an owner is unreachable.
+// That its tasks go elsewhere at once is covered by the tests of JobCoordinator in
+// tst_dispatchparts.cpp.
 BOOST_AUTO_TEST_CASE(unreachableOwnerGetsNoTasks)
 {
     const std::string owner = ownerOf("b");
@@ -340,10 +341,10 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-// In a large deployment daemons tell only their own claims. A daemon that does not hear the owner
-// of a group claims it, and does not reach an executor on which the owner goes on renewing leases.
-// The owner has to find out, or the task is started a second time.
-BOOST_AUTO_TEST_CASE(ownerThatDoesNotHearOfAClaimIsFencedInTime)
+// In a large deployment daemons announce only their own claims. A daemon that does not hear the
+// owner of a group claims it, but cannot reach an executor whose leases the owner keeps renewing.
+// The owner must learn of the claim, or the task is started a second time.
+BOOST_AUTO_TEST_CASE(ownerUnawareOfAClaimIsFencedInTime)
 {
     DispatchCluster cluster;
     cluster.addDaemon("a1", "a");
@@ -380,9 +381,10 @@
     BOOST_TEST(cluster.count(JobOutcome::Completed) == 1U);
 }
 
-// After a cut all daemons on one side reach the executors beyond it at the same time, before they
-// hear their owner. Each of them used to claim at once, and fenced the others and the owner.
-BOOST_AUTO_TEST_CASE(cutThatHealsIsFollowedByFewClaims)
+// When a partition heals, all daemons on one side reach the executors on the other side at the same
+// time, before they hear from the owner. If each of them claims at once, it fences the others and
+// the owner.
+BOOST_AUTO_TEST_CASE(healedPartitionCausesFewClaims)
 {
     DispatchCluster cluster;
     cluster.addDaemon("a1", "a");
@@ -395,7 +397,7 @@
     cluster.setDomainCut("a", true);
     cluster.run(4s);
     BOOST_REQUIRE(cluster.owners("a") == std::vector<std::string>{"a1"});
-    // Hosts that are busy with the end of the cut read messages late.
+    // Hosts that are busy when the partition heals read messages late.
     cluster.network.chooseDelay = [] { return std::chrono::milliseconds(250); };
     cluster.executors.cut.clear();
     std::set<std::string> claimants;
--- a/tests/auto/dispatch/tst_dispatchrandom.cpp
+++ b/tests/auto/dispatch/tst_dispatchrandom.cpp
@@ -1,5 +1,6 @@
-// Randomised schedules of jobs and faults, three faults at a time. EP_RANDOM_RUNS sets their number
-// and EP_RANDOM_SEED the first seed; a failing schedule is repeated with its seed and one run.
+// Random schedules of jobs and faults, with up to three faults at a time. EP_RANDOM_RUNS sets the
+// number of schedules and EP_RANDOM_SEED the first seed; to reproduce a failing schedule, set its
+// seed and one run.
 // The build defines the module for every file, but only tst_dispatch.cpp may contain main().
 #undef BOOST_TEST_MODULE
 #include "dispatchcluster.h"
@@ -39,7 +40,7 @@
         };
     }
 
-    /// The first invariant that did not hold, or an empty string.
+    /// Returns the first invariant that was violated, or an empty string.
     std::string run()
     {
         m_cluster.startAll();
@@ -54,8 +55,8 @@
                 }
             }
             if (draw(3) == 0)
-                callerActs();
-            resendDue(step);
+                performCallerAction();
+            resubmitDue(step);
             m_cluster.run(20ms);
         }
         for (Fault &it : m_faults) {
@@ -65,7 +66,7 @@
         m_isSettled = true;
         m_cluster.announceExecutors();
         m_cluster.run(15s);
-        checkServed();
+        checkRecovery();
         return m_cluster.executors.violation;
     }
 
@@ -168,7 +169,7 @@
             };
             return;
         default: {
-            // One daemon's list lacks an executor, as when registrations come back after a cut.
+            // One daemon's list lacks an executor, as when registrations return after a partition.
             if (!m_cluster.isUp(daemon))
                 return;
             auto list = m_cluster.executors.infos();
@@ -191,7 +192,7 @@
                          static_cast<std::uint32_t>(draw(3)));
     }
 
-    void callerActs()
+    void performCallerAction()
     {
         const std::string daemon = pickDaemon();
         if (!m_cluster.isUp(daemon) || m_cluster.daemons.at(daemon)->timers.isPaused())
@@ -205,48 +206,48 @@
                1 + static_cast<std::uint32_t>(draw(8)));
     }
 
-    /// Callers whose connection broke send their job again 1.3 s later, at any daemon.
-    void resendDue(int step)
+    /// Callers whose connection broke resubmit their job 1.3 s later, to any daemon.
+    void resubmitDue(int step)
     {
         for (auto &[key, job] : m_cluster.jobs) {
             if (!job.isAbandoned)
                 continue;
             job.isAbandoned = false;
             const std::size_t begin = key.find('/') + 1;
-            m_resends.emplace_back(step + 65, key.substr(begin, key.rfind('/') - begin));
+            m_resubmissions.emplace_back(step + 65, key.substr(begin, key.rfind('/') - begin));
         }
-        for (auto it = m_resends.begin(); it != m_resends.end();) {
+        for (auto it = m_resubmissions.begin(); it != m_resubmissions.end();) {
             if (it->first > step) {
                 ++it;
                 continue;
             }
-            // The shape is that of the first submission.
+            // Same shape as in the first submission.
             const std::string id = it->second;
             const Resources shape = m_cluster.shapes[JobId(id)];
             m_cluster.submit(pickDaemon(), id, 4, shape, 200ms, 2s);
-            it = m_resends.erase(it);
+            it = m_resubmissions.erase(it);
         }
     }
 
-    /// After all faults have ended every group has one owner, and jobs are completed.
-    void checkServed()
+    /// Checks that every group has one owner and jobs are completed after all faults have ended.
+    void checkRecovery()
     {
         if (!m_cluster.executors.violation.empty())
             return;
         for (const char *it : {"a", "b", "c"}) {
             if (m_cluster.owners(it).size() != 1)
-                m_cluster.executors.violate(std::string("no single owner of ") + it);
+                m_cluster.executors.violate(std::string("no single owner of group ") + it);
         }
         const std::size_t before = completed();
         for (const auto &[name, daemon] : m_cluster.daemons)
             m_cluster.submit(name, "last-" + name, 3, {4000, 64, 0}, 300ms, 6s);
         m_cluster.run(7s);
         if (completed() != before + m_cluster.daemons.size())
-            m_cluster.executors.violate("jobs are not served after the faults");
+            m_cluster.executors.violate("jobs are not completed after the faults");
         for (const auto &[key, job] : m_cluster.jobs) {
             if (!job.isAnswered && m_cluster.isUp(job.daemon)
                 && m_cluster.node(job.daemon).jobs().jobCount() > 0) {
-                m_cluster.executors.violate("a job has no answer: " + key);
+                m_cluster.executors.violate("a job was not answered: " + key);
             }
         }
     }
@@ -256,29 +257,29 @@
     Fault m_faults[3];
     bool m_lossyOrders = false;
     bool m_slowNetwork = false;
-    bool m_isSettled = false; // no faults any more
+    bool m_isSettled = false; // all faults have ended
     std::uint64_t m_lastJob = 0;
-    std::vector<std::pair<int, std::string>> m_resends; // step and job
+    std::vector<std::pair<int, std::string>> m_resubmissions; // step and job
 };
 
 } // namespace
 
-/// Seeds that have failed once, with what was wrong then.
+/// Seeds that failed in the past, with the cause of the failure.
 static const std::pair<std::uint64_t, const char *> REGRESSION_SEEDS[] = {
     // NOLINT: a constant
     {81, "an old owner and a new one, whose list lacked an executor"},
-    {121, "a claim was answered by the end of an earlier run, though the task waited"},
-    {116, "a batch that had waited through a pause of the owner started a task of a lost daemon"},
-    {244, "an unanswered start was taken for gone before its stop was accepted"},
-    {321, "a retired group went on sending orders"},
-    {532, "a task was returned for its deadline while a claim was under way"},
-    {2203, "a paused owner ordered an executor that had forgotten a higher token"},
+    {121, "a claim was answered with the end of an earlier run although the task was queued"},
+    {116, "a batch delayed by a pause of the owner started a task of a lost daemon"},
+    {244, "an unanswered start was considered not running before its stop was accepted"},
+    {321, "a retired group continued to send orders"},
+    {532, "a task was returned for its deadline while a claim was in transit"},
+    {2203, "a paused owner sent orders to an executor that had forgotten a higher token"},
     {2709, "an end on another executor hid a running task"},
     {3380, "a report from before a change of ownership crossed a claim"},
-    {4544, "a listing made before a run began was taken for its end"},
+    {4544, "a listing made before a run began was interpreted as its end"},
     {6023, "a daemon regained a group, and its report under the earlier token crossed a claim"},
     {11522, "as 3380"},
-    {12423, "the end of another run of the same number answered a claim"},
+    {12423, "a claim was answered with the end of another run with the same number"},
 };
 
 BOOST_AUTO_TEST_CASE(regressionSeeds)
