--- a/src/libs/scheduling/admissioncontrol.cpp
+++ b/src/libs/scheduling/admissioncontrol.cpp
@@ -1,4 +1,4 @@
-// Expected response time from the queued work, the capacity and the team's share of it.
+// Estimates the response time from the queued work, the capacity and the team's share of it.
 #include "admissioncontrol.h"
 
 #include <base/failure.h>
@@ -7,14 +7,15 @@
 
 namespace Scheduling {
 
-/// The estimate of the waiting time must leave this reserve, since work that is already admitted
-/// but not yet queued, and estimates that are too low, would otherwise make most answers late.
-static constexpr double WAIT_RESERVE = 1.25;
-/// Jobs are assumed to get at least this part of the capacity beside single requests.
+/// Factor on the estimated queueing time. Without it most answers would be late, because work that
+/// is admitted but not yet queued is not counted, and because estimates can be too low.
+static constexpr double WAIT_SAFETY_FACTOR = 1.25;
+/// Lower bound of the fraction of the capacity that single requests leave to jobs.
 static constexpr double MIN_JOB_CAPACITY = 0.05;
-/// The load is an average, so that a short burst looks like a lasting one.
+/// Lower bound of the fraction of the capacity that the load leaves free. The load is an average
+/// in which a short burst looks like lasting load.
 static constexpr double MIN_SPARE_CAPACITY = 0.1;
-/// Lent slots, and those of a lost daemon, are usable again after this at the latest.
+/// Upper bound of the time until lent slots, or the slots of a lost daemon, are usable again.
 static constexpr std::chrono::milliseconds SLOT_RETURN_MS{3000};
 static constexpr std::chrono::milliseconds MIN_RETRY_AFTER_MS{100};
 static constexpr std::chrono::milliseconds MAX_RETRY_AFTER_MS{30'000};
@@ -31,22 +32,22 @@
     return {Base::makeFailure(code, message), retryAfter, Base::Duration(0)};
 }
 
-/// Time until the last task starts.
+/// Estimated time until the last task of \a request starts, in ms.
 static double waitMs(const AdmissionRequest &request, const AdmissionState &state)
 {
     const double ownWork = request.taskCount * state.meanWorkMs;
     double capacity = state.capacity;
     if (!state.single)
         capacity = std::max(capacity - state.singleLoad, capacity * MIN_JOB_CAPACITY);
-    // The first tasks find free slots if nothing waits.
-    const double inSlots =
+    // If nothing is queued, the first tasks start at once in free slots.
+    const double freeSlotWork =
         state.queuedWorkMs > 0 ? 0 : capacity / state.meanSpeed * state.meanWorkMs;
-    // Under fair queueing, later arrivals of other teams can go first; they take the load's part of
-    // the capacity at most, and never more than leaves the team its share.
+    // Under fair queueing, later arrivals of other teams can start first. They take at most the
+    // load's fraction of the capacity, and always leave the team its share.
     const double spare = std::max(capacity - state.classLoad, capacity * MIN_SPARE_CAPACITY);
-    const double inOrder = (state.queuedWorkMs + ownWork) * capacity / spare;
-    const double byShare = (state.teamWorkMs + ownWork) / state.teamShare;
-    return std::max(0.0, std::min(inOrder, byShare) - inSlots) / capacity;
+    const double queueOrderWork = (state.queuedWorkMs + ownWork) * capacity / spare;
+    const double teamShareWork = (state.teamWorkMs + ownWork) / state.teamShare;
+    return std::max(0.0, std::min(queueOrderWork, teamShareWork) - freeSlotWork) / capacity;
 }
 
 Admission decideAdmission(const AdmissionRequest &request, const AdmissionState &state,
@@ -79,7 +80,7 @@
         }
         return {absl::OkStatus(), {}, run};
     }
-    const Base::Duration wait = fromMs(waitMs(request, state) * WAIT_RESERVE);
+    const Base::Duration wait = fromMs(waitMs(request, state) * WAIT_SAFETY_FACTOR);
     const Base::Duration retryAfter =
         std::clamp<Base::Duration>(wait + run - left, MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS);
     if (state.queued + request.taskCount > state.maxQueued)
--- a/src/libs/scheduling/baselinepolicies.cpp
+++ b/src/libs/scheduling/baselinepolicies.cpp
@@ -1,4 +1,5 @@
-// Baselines: random, round robin, least outstanding. Each uses any upstream with a free slot.
+// Baseline policies for comparison: random, round robin and least outstanding. Each uses any
+// upstream with a free slot and never waits for a better one.
 #include "placementpolicy.h"
 
 #include <algorithm>
--- a/src/libs/scheduling/fairqueue.cpp
+++ b/src/libs/scheduling/fairqueue.cpp
@@ -1,4 +1,4 @@
-// Start-time fair queueing over an index of tasks by class, group and team.
+// Start-time fair queueing over tasks indexed by class, task group and team.
 #include "fairqueue.h"
 
 #include <base/softassert.h>
@@ -7,8 +7,8 @@
 
 namespace Scheduling {
 
-/// A team that could not start for a while, as its kinds had no free slot, catches up by at most
-/// this much slot time per unit of weight; without a bound it would starve the other teams then.
+/// Limits how much slot time per unit of weight a team catches up on after a time without free
+/// slots for its kinds. Without the limit it would starve the other teams while it catches up.
 static constexpr double MAX_LAG_MS = 1000;
 
 FairQueue::FairQueue(std::size_t maxTasks)
@@ -52,11 +52,11 @@
     queue.virtualTime = virtualTime;
 }
 
-bool FairQueue::push(const WaitingTask &task)
+bool FairQueue::push(const QueuedTask &task)
 {
     if (m_tasks.size() >= m_maxTasks)
         return false;
-    const auto [it, inserted] = m_tasks.emplace(task.handle, Stored{task, m_lastSequence + 1});
+    const auto [it, inserted] = m_tasks.emplace(task.handle, Entry{task, m_lastSequence + 1});
     if (!inserted)
         return false;
     ++m_lastSequence;
@@ -64,7 +64,7 @@
     Band &band = this->band(task.taskClass);
     TeamQueue &queue = at(band.teams, task.team);
     if (queue.count == 0) {
-        // An idle team gains no credit for the time in which it had nothing to run.
+        // A team earns no credit while it has no queued tasks.
         queue.virtualTime = std::max(queue.virtualTime, band.virtualTime);
         band.activeWeight += at(m_weights, task.team);
     }
@@ -79,14 +79,14 @@
     return true;
 }
 
-void FairQueue::remove(const Stored &stored)
+void FairQueue::remove(const Entry &entry)
 {
-    const WaitingTask &task = stored.task;
+    const QueuedTask &task = entry.task;
     Band &band = this->band(task.taskClass);
     TeamQueue &queue = at(band.teams, task.team);
     const auto group = band.groups.find(task.group);
     const auto tasks = queue.byGroup.find(task.group);
-    tasks->second.erase({task.deadline, stored.sequence});
+    tasks->second.erase({task.deadline, entry.sequence});
     if (tasks->second.empty()) {
         queue.byGroup.erase(tasks);
         group->second.teams.erase({queue.virtualTime, task.team});
@@ -96,7 +96,7 @@
     if (--queue.count == 0)
         band.activeWeight -= at(m_weights, task.team);
     if (--band.count == 0)
-        band.activeWeight = 0; // drops rounding errors
+        band.activeWeight = 0; // clears accumulated rounding errors
 }
 
 bool FairQueue::withdraw(TaskHandle handle)
@@ -109,11 +109,11 @@
     return true;
 }
 
-std::optional<WaitingTask> FairQueue::next(TaskClass taskClass,
-                                           const std::function<bool(GroupIndex)> &canStart) const
+std::optional<QueuedTask> FairQueue::next(TaskClass taskClass,
+                                          const std::function<bool(TaskGroupIndex)> &canStart) const
 {
     const Band &band = this->band(taskClass);
-    const Stored *best = nullptr;
+    const Entry *best = nullptr;
     TeamKey bestTeam;
     for (const auto &[group, queue] : band.groups) {
         const TeamKey &team = *queue.teams.begin();
@@ -122,13 +122,13 @@
         if (!canStart(group))
             continue;
         const TaskHandle handle = at(band.teams, team.second).byGroup.at(group).begin()->second;
-        const Stored &stored = m_tasks.at(handle);
+        const Entry &entry = m_tasks.at(handle);
         if (best && team == bestTeam
             && std::pair(best->task.deadline, best->sequence)
-                   <= std::pair(stored.task.deadline, stored.sequence)) {
+                   <= std::pair(entry.task.deadline, entry.sequence)) {
             continue;
         }
-        best = &stored;
+        best = &entry;
         bestTeam = team;
     }
     return best ? std::optional(best->task) : std::nullopt;
@@ -139,7 +139,7 @@
     const auto it = m_tasks.find(handle);
     if (it == m_tasks.end())
         return false;
-    const WaitingTask task = it->second.task;
+    const QueuedTask task = it->second.task;
     remove(it->second);
     m_tasks.erase(it);
     Band &band = this->band(task.taskClass);
@@ -151,13 +151,13 @@
     return true;
 }
 
-const WaitingTask *FairQueue::find(TaskHandle handle) const
+const QueuedTask *FairQueue::find(TaskHandle handle) const
 {
     const auto it = m_tasks.find(handle);
     return it == m_tasks.end() ? nullptr : &it->second.task;
 }
 
-std::size_t FairQueue::size(TaskClass taskClass, GroupIndex group) const
+std::size_t FairQueue::size(TaskClass taskClass, TaskGroupIndex group) const
 {
     const Band &band = this->band(taskClass);
     const auto it = band.groups.find(group);
--- a/src/libs/scheduling/fairqueue.h
+++ b/src/libs/scheduling/fairqueue.h
@@ -1,4 +1,4 @@
-// Waiting tasks, ordered by class, fair share among teams and deadline.
+// Queue of tasks, ordered by class, fair share of the teams and deadline.
 #pragma once
 
 #include "schedulingtypes.h"
@@ -15,46 +15,46 @@
 namespace Scheduling {
 
 /// One task in a FairQueue.
-struct WaitingTask
+struct QueuedTask
 {
     TaskHandle handle;
     TaskClass taskClass = TaskClass::Job;
     TeamIndex team;
-    GroupIndex group;
+    TaskGroupIndex group;
     Base::TimePoint deadline;
 };
 
-/// Bounded queue. Teams of one class are served by start-time fair queueing: each team has a
+/// Bounded queue. Within a class, teams are served by start-time fair queueing: each team has a
 /// virtual time that advances by cost / weight when one of its tasks starts, and the team with the
-/// lowest virtual time is next. Within a team the earliest deadline is next. Tasks are indexed by
-/// (class, group, team), so that a group that can't start now is skipped as a whole; operations
-/// cost O(log n) in waiting tasks and teams, times the number of groups.
+/// lowest virtual time is next. Within a team, the earliest deadline is next. Tasks are indexed by
+/// (class, task group, team), so that a group without a free slot is skipped as a whole. Operations
+/// cost O(log n) in queued tasks and teams, times the number of groups.
 class FairQueue
 {
 public:
     explicit FairQueue(std::size_t maxTasks);
 
-    /// Teams have weight 1 until set. \a weight must be positive.
+    /// The default weight is 1. \a weight must be positive.
     void setWeight(TeamIndex team, double weight);
     double weight(TeamIndex team) const;
 
-    /// Returns false if the queue is full or the handle is known.
-    bool push(const WaitingTask &task);
-    /// Removes a task without charging its team. Returns false if it is unknown.
+    /// Returns false if the queue is full or already holds the handle.
+    bool push(const QueuedTask &task);
+    /// Removes a task without charging its team. Returns false if it is not in the queue.
     bool withdraw(TaskHandle handle);
-    /// The next task of \a taskClass among the groups that \a canStart accepts.
-    std::optional<WaitingTask> next(TaskClass taskClass,
-                                    const std::function<bool(GroupIndex)> &canStart) const;
-    /// Removes a task that starts and charges \a cost of slot time to its team.
+    /// Returns the next task of \a taskClass among the groups that \a canStart accepts.
+    std::optional<QueuedTask> next(TaskClass taskClass,
+                                   const std::function<bool(TaskGroupIndex)> &canStart) const;
+    /// Removes a task that starts and charges its team \a cost in slot time.
     bool start(TaskHandle handle, Base::Duration cost);
 
-    const WaitingTask *find(TaskHandle handle) const;
+    const QueuedTask *find(TaskHandle handle) const;
     std::size_t size() const { return m_tasks.size(); }
     std::size_t size(TaskClass taskClass) const { return band(taskClass).count; }
-    std::size_t size(TaskClass taskClass, GroupIndex group) const;
+    std::size_t size(TaskClass taskClass, TaskGroupIndex group) const;
     std::size_t size(TaskClass taskClass, TeamIndex team) const;
     std::size_t size(TeamIndex team) const;
-    /// Sum of the weights of the teams with tasks of \a taskClass.
+    /// Sum of the weights of the teams that have queued tasks of \a taskClass.
     double activeWeight(TaskClass taskClass) const { return band(taskClass).activeWeight; }
     bool isActive(TaskClass taskClass, TeamIndex team) const;
 
@@ -70,19 +70,20 @@
     {
         double virtualTime = 0;
         std::size_t count = 0;
-        std::map<GroupIndex, std::map<DeadlineKey, TaskHandle>> byGroup; // no empty maps
+        std::map<TaskGroupIndex, std::map<DeadlineKey, TaskHandle>> byGroup; // no empty maps
     };
+    /// Tasks of one class.
     struct Band
     {
-        double virtualTime = 0; // highest start tag served; never decreases
+        double virtualTime = 0; // highest start tag so far; never decreases
         double activeWeight = 0;
         std::size_t count = 0;
-        std::map<GroupIndex, GroupQueue> groups; // no empty groups
+        std::map<TaskGroupIndex, GroupQueue> groups; // no empty groups
         std::vector<TeamQueue> teams;
     };
-    struct Stored
+    struct Entry
     {
-        WaitingTask task;
+        QueuedTask task;
         std::uint64_t sequence = 0;
     };
 
@@ -93,13 +94,13 @@
     }
     static void setVirtualTime(Band &band, TeamIndex team, double virtualTime);
     void ensureTeam(TeamIndex team);
-    void remove(const Stored &stored);
+    void remove(const Entry &entry);
 
     const std::size_t m_maxTasks;
     std::uint64_t m_lastSequence = 0;
     std::array<Band, 2> m_bands;
     std::vector<double> m_weights;
-    std::unordered_map<TaskHandle, Stored> m_tasks;
+    std::unordered_map<TaskHandle, Entry> m_tasks;
 };
 
 } // namespace Scheduling
--- a/src/libs/scheduling/fastestfreepolicy.cpp
+++ b/src/libs/scheduling/fastestfreepolicy.cpp
@@ -1,4 +1,4 @@
-// The product's placement policy: the fastest free slot, or none if it is better to wait.
+// Default placement policy: the fastest free slot, or none if waiting for a faster one is better.
 #include "placementpolicy.h"
 
 #include <algorithm>
@@ -12,11 +12,12 @@
 
 namespace {
 
-/// Candidates compared for the spread over racks; bounds the cost of a decision.
+/// Number of candidates compared to spread tasks over racks; bounds the cost of a decision.
 constexpr int MAX_RACK_CANDIDATES = 8;
-/// An upstream without a start for this long gets one task, since its speed may have changed.
+/// An upstream on which no task started for this long gets one, since its speed may have changed.
 constexpr std::chrono::seconds SPEED_REFRESH_S{10};
-/// At most this part of the tasks refreshes speeds, so that p99 does not suffer from them.
+/// Fraction of the tasks that may be used to refresh speed estimates; low enough to leave the p99
+/// latency unaffected.
 constexpr double REFRESH_FRACTION = 0.002;
 
 class FastestFreePolicy : public PlacementPolicy
@@ -64,10 +65,10 @@
         return pool.upstream(upstream).health.isEjected();
     }
 
-    /// Waiting delays this task and those behind it until the faster upstreams have caught up; the
-    /// queue shrinks by the capacity of the faster upstreams less the load that arrives. It pays if
-    /// that is shorter than the gain in run time. Where the load exceeds the faster upstreams, they
-    /// never catch up, and the slow slot is needed.
+    /// Waiting delays this task and those behind it until the faster upstreams have drained the
+    /// queue, at a rate of their capacity minus the arriving load. Waiting is better if that takes
+    /// less time than the faster run saves. If the load exceeds the capacity of the faster
+    /// upstreams, the queue never drains, and the slow slot is needed.
     static bool isWaitBetter(const UpstreamPool &pool, const PlacementQuery &query, int bucket)
     {
         const UpstreamPool::Capacity faster = pool.capacityAbove(query.kind, bucket);
@@ -76,7 +77,7 @@
             return false;
         const double gainMs = query.workMs / SpeedEstimate::bucketSpeed(bucket)
                               - query.workMs * faster.slots / faster.work;
-        const double waitMs = static_cast<double>(query.waiting) * query.workMs / spare;
+        const double waitMs = static_cast<double>(query.queued) * query.workMs / spare;
         return waitMs < gainMs;
     }
 
--- a/src/libs/scheduling/queuescheduler.cpp
+++ b/src/libs/scheduling/queuescheduler.cpp
@@ -1,4 +1,4 @@
-// Dispatch loop, admission state and book-keeping of tasks.
+// Dispatch loop, state for admission and accounting of tasks.
 #include "queuescheduler.h"
 
 #include "admissioncontrol.h"
@@ -12,13 +12,14 @@
 
 namespace Scheduling {
 
-/// Groups of tasks that exclude upstreams; beyond this number exclusions are ignored, since every
-/// group adds to the cost of a decision.
+/// Maximum number of task groups that exclude upstreams. Beyond it exclusions are ignored, since
+/// each group adds to the cost of a decision.
 static constexpr std::size_t MAX_GROUPS_WITH_EXCLUSIONS = 64;
-/// Period over which the arriving load is averaged.
+/// Time constant of the average of the arriving load.
 static constexpr double LOAD_PERIOD_MS = 2000;
-/// A task that waits by choice is looked at again after this time, if nothing happens before.
-static constexpr std::chrono::milliseconds WAIT_REVIEW_MS{10};
+/// Tasks that the policy deferred although a slot was free are reconsidered after this time at the
+/// latest.
+static constexpr std::chrono::milliseconds DEFERRED_RETRY_MS{10};
 
 static double toMs(Base::Duration duration)
 {
@@ -110,20 +111,20 @@
     state.slowestSpeed = m_pool.slowestSpeed(kind);
     if (m_pool.usableSlots(kind) > 0)
         state.meanSpeed = state.capacity / m_pool.usableSlots(kind);
-    state.meanWorkMs = toMs(data.estimate.cautiousMean(now));
-    state.upperWorkMs = toMs(data.estimate.cautiousUpper(now));
+    state.meanWorkMs = toMs(data.estimate.optimisticMean(now));
+    state.upperWorkMs = toMs(data.estimate.optimisticUpper(now));
     std::size_t queuedInClass = 0;
     double workInClass = 0;
     for (std::size_t i = 0; i < m_kinds.size(); ++i) {
         if (!m_pool.overlap(kind, KindIndex(i)))
             continue;
         const KindData &it = m_kinds[i];
-        const double work = toMs(it.estimate.cautiousMean(now));
-        const std::size_t n = it.waiting[static_cast<std::size_t>(taskClass)];
+        const double work = toMs(it.estimate.optimisticMean(now));
+        const std::size_t n = it.queued[static_cast<std::size_t>(taskClass)];
         queuedInClass += n;
         workInClass += static_cast<double>(n) * work;
         if (taskClass == TaskClass::Job) {
-            const std::size_t before = it.waiting[static_cast<std::size_t>(TaskClass::Single)];
+            const std::size_t before = it.queued[static_cast<std::size_t>(TaskClass::Single)];
             state.queuedWorkMs += static_cast<double>(before) * work;
         }
         state.singleLoad += load(it, TaskClass::Single);
@@ -167,7 +168,8 @@
                            m_timers.now());
 }
 
-GroupIndex QueueScheduler::groupIndex(KindIndex kind, const std::vector<Base::UpstreamId> &excluded)
+TaskGroupIndex QueueScheduler::groupIndex(KindIndex kind,
+                                          const std::vector<Base::UpstreamId> &excluded)
 {
     std::vector<UpstreamIndex> upstreams;
     for (const Base::UpstreamId &it : excluded) {
@@ -176,14 +178,14 @@
     }
     std::sort(upstreams.begin(), upstreams.end());
     upstreams.erase(std::unique(upstreams.begin(), upstreams.end()), upstreams.end());
-    // A task that every upstream has refused may try them again.
+    // A task that all upstreams refused may be placed on any of them again.
     const bool tooMany = m_groupIndex.size() >= MAX_GROUPS_WITH_EXCLUSIONS + m_kinds.size();
     if (tooMany || upstreams.size() >= m_pool.listedCount(kind))
         upstreams.clear();
     const auto it = m_groupIndex.find({kind, upstreams});
     if (it != m_groupIndex.end())
         return it->second;
-    GroupIndex index(m_groups.size());
+    TaskGroupIndex index(m_groups.size());
     if (m_unusedGroups.empty()) {
         m_groups.emplace_back();
         m_blocked.push_back(false);
@@ -196,10 +198,10 @@
     return index;
 }
 
-void QueueScheduler::releaseGroup(GroupIndex index)
+void QueueScheduler::releaseGroup(TaskGroupIndex index)
 {
-    Group &group = at(m_groups, index);
-    if (--group.waiting > 0 || group.excluded.empty())
+    TaskGroup &group = at(m_groups, index);
+    if (--group.queued > 0 || group.excluded.empty())
         return;
     m_groupIndex.erase({group.kind, group.excluded});
     m_unusedGroups.push_back(index);
@@ -212,34 +214,34 @@
     EP_ASSERT(!m_started.contains(task.handle), return );
     EP_ASSERT(!m_queue.find(task.handle), return );
     const TaskClass taskClass = task.single ? TaskClass::Single : TaskClass::Job;
-    const GroupIndex group = groupIndex(kind->second, task.excluded);
-    ++at(m_groups, group).waiting;
+    const TaskGroupIndex group = groupIndex(kind->second, task.excluded);
+    ++at(m_groups, group).queued;
     KindData &data = at(m_kinds, kind->second);
-    ++data.waiting[static_cast<std::size_t>(taskClass)];
-    const WaitingTask waiting{task.handle, taskClass, teamIndex(task.team), group, task.deadline};
-    const bool queued = m_queue.push(waiting);
-    if (!queued)
-        removeFromCounts(waiting);
-    EP_ASSERT(queued, return );
+    ++data.queued[static_cast<std::size_t>(taskClass)];
+    const QueuedTask queuedTask{task.handle, taskClass, teamIndex(task.team), group, task.deadline};
+    const bool pushed = m_queue.push(queuedTask);
+    if (!pushed)
+        removeFromCounts(queuedTask);
+    EP_ASSERT(pushed, return );
     addLoad(data, taskClass);
     dispatch();
 }
 
-void QueueScheduler::removeFromCounts(const WaitingTask &task)
+void QueueScheduler::removeFromCounts(const QueuedTask &task)
 {
     KindData &kind = at(m_kinds, at(m_groups, task.group).kind);
-    --kind.waiting[static_cast<std::size_t>(task.taskClass)];
+    --kind.queued[static_cast<std::size_t>(task.taskClass)];
     releaseGroup(task.group);
 }
 
 bool QueueScheduler::withdraw(TaskHandle task)
 {
-    const WaitingTask *found = m_queue.find(task);
+    const QueuedTask *found = m_queue.find(task);
     if (!found)
         return false;
-    const WaitingTask waiting = *found;
+    const QueuedTask queuedTask = *found;
     m_queue.withdraw(task);
-    removeFromCounts(waiting);
+    removeFromCounts(queuedTask);
     return true;
 }
 
@@ -259,20 +261,20 @@
     dispatch();
 }
 
-PlacementQuery QueueScheduler::placementQuery(const WaitingTask &task) const
+PlacementQuery QueueScheduler::placementQuery(const QueuedTask &task) const
 {
-    const Group &group = at(m_groups, task.group);
+    const TaskGroup &group = at(m_groups, task.group);
     PlacementQuery query;
     query.kind = group.kind;
     query.excluded = &group.excluded;
     query.workMs = toMs(at(m_kinds, group.kind).estimate.mean());
-    query.waiting = m_queue.size(TaskClass::Single);
+    query.queued = m_queue.size(TaskClass::Single);
     if (task.taskClass == TaskClass::Job)
-        query.waiting += m_queue.size(TaskClass::Job);
+        query.queued += m_queue.size(TaskClass::Job);
     for (std::size_t i = 0; i < m_kinds.size(); ++i) {
         if (!m_pool.overlap(group.kind, KindIndex(i)))
             continue;
-        // Job tasks don't delay single requests, which may therefore wait for the fast slots.
+        // Job tasks do not delay single requests, which can therefore wait for fast slots.
         query.arrivingLoad += load(m_kinds[i], TaskClass::Single);
         if (task.taskClass == TaskClass::Job)
             query.arrivingLoad += load(m_kinds[i], TaskClass::Job);
@@ -283,7 +285,7 @@
 
 void QueueScheduler::dispatch()
 {
-    // The starter may report results or add tasks from within startTask().
+    // startTask() may call taskFinished() or enqueue().
     if (m_dispatching) {
         m_dispatchAgain = true;
         return;
@@ -291,7 +293,7 @@
     m_dispatching = true;
     do {
         m_dispatchAgain = false;
-        m_waits = false;
+        m_hasDeferredTasks = false;
         m_pool.updateProbes(m_timers.now());
         dispatchClass(TaskClass::Single);
         dispatchClass(TaskClass::Job);
@@ -299,35 +301,35 @@
     m_dispatching = false;
     if (m_queue.size() == 0)
         return;
-    // A probe can be due while the upstream still runs earlier tasks; the review period bounds the
-    // rate of wake-ups then.
-    const Base::TimePoint review = m_timers.now() + WAIT_REVIEW_MS;
+    // A probe can be overdue while the upstream still runs earlier tasks. The retry period then
+    // bounds the rate of wake-ups.
+    const Base::TimePoint retry = m_timers.now() + DEFERRED_RETRY_MS;
     const Base::TimePoint probe = m_pool.nextProbe();
-    if (m_waits)
-        scheduleWakeUp(review);
+    if (m_hasDeferredTasks)
+        scheduleWakeUp(retry);
     else if (probe != Base::TimePoint::max())
-        scheduleWakeUp(std::max(probe, review));
+        scheduleWakeUp(std::max(probe, retry));
 }
 
 void QueueScheduler::dispatchClass(TaskClass taskClass)
 {
     std::fill(m_blocked.begin(), m_blocked.end(), false);
-    const auto canStart = [this](GroupIndex group) {
+    const auto canStart = [this](TaskGroupIndex group) {
         return !at(m_blocked, group) && m_pool.hasFree(at(m_groups, group).kind);
     };
-    while (const std::optional<WaitingTask> task = m_queue.next(taskClass, canStart)) {
+    while (const std::optional<QueuedTask> task = m_queue.next(taskClass, canStart)) {
         const std::optional<UpstreamIndex> upstream =
             m_policy->choose(m_pool, placementQuery(*task));
         if (upstream) {
             start(*task, *upstream);
         } else {
             at(m_blocked, task->group) = true;
-            m_waits = true;
+            m_hasDeferredTasks = true;
         }
     }
 }
 
-void QueueScheduler::start(const WaitingTask &task, UpstreamIndex upstream)
+void QueueScheduler::start(const QueuedTask &task, UpstreamIndex upstream)
 {
     const KindIndex kind = at(m_groups, task.group).kind;
     m_queue.start(task.handle, at(m_kinds, kind).estimate.mean());
--- a/src/libs/scheduling/queuescheduler.h
+++ b/src/libs/scheduling/queuescheduler.h
@@ -1,4 +1,4 @@
-// The scheduler of one daemon: a fair queue in front of the pool of upstreams.
+// Scheduler of one daemon: a fair queue in front of a pool of upstreams.
 #pragma once
 
 #include "fairqueue.h"
@@ -17,12 +17,12 @@
 
 struct SchedulerOptions
 {
-    /// Admission refuses work beyond this. Work that was admitted but not yet queued may exceed it
-    /// by the same amount at most.
+    /// Limit for admission. Work that is admitted but not yet queued can exceed it, at most by the
+    /// same amount again.
     std::size_t maxQueuedTasks = 200'000;
 };
 
-/// Binds late: a task waits in the queue until the placement policy finds a free slot for it.
+/// Binds tasks to upstreams late: a task is queued until the policy finds a free slot for it.
 class QueueScheduler : public TaskScheduler
 {
 public:
@@ -51,18 +51,18 @@
         bool single = false;
         std::array<double, 2> load{}; // arriving work by class, in ms per ms, as of loadTime
         Base::TimePoint loadTime;
-        std::array<std::size_t, 2> waiting{}; // queued tasks by class
+        std::array<std::size_t, 2> queued{}; // tasks by class
     };
     struct TeamData
     {
         bool declared = true;
         std::size_t maxQueuedTasks = 0;
     };
-    struct Group
+    struct TaskGroup
     {
         KindIndex kind;
         std::vector<UpstreamIndex> excluded; // sorted
-        std::size_t waiting = 0;
+        std::size_t queued = 0;
     };
     struct StartedTask
     {
@@ -72,17 +72,17 @@
     };
 
     TeamIndex teamIndex(const Base::TeamId &id);
-    GroupIndex groupIndex(KindIndex kind, const std::vector<Base::UpstreamId> &excluded);
-    void releaseGroup(GroupIndex index);
+    TaskGroupIndex groupIndex(KindIndex kind, const std::vector<Base::UpstreamId> &excluded);
+    void releaseGroup(TaskGroupIndex index);
     void addLoad(KindData &kind, TaskClass taskClass);
     double load(const KindData &kind, TaskClass taskClass) const;
     AdmissionState admissionState(const AdmissionRequest &request, KindIndex kind,
                                   TeamIndex team) const;
-    PlacementQuery placementQuery(const WaitingTask &task) const;
-    void removeFromCounts(const WaitingTask &task);
+    PlacementQuery placementQuery(const QueuedTask &task) const;
+    void removeFromCounts(const QueuedTask &task);
     void dispatch();
     void dispatchClass(TaskClass taskClass);
-    void start(const WaitingTask &task, UpstreamIndex upstream);
+    void start(const QueuedTask &task, UpstreamIndex upstream);
     void scheduleWakeUp(Base::TimePoint when);
 
     Base::Timers &m_timers;
@@ -92,18 +92,18 @@
     UpstreamPool m_pool;
     FairQueue m_queue;
     std::map<Base::KindId, KindIndex> m_kindIndex;
-    std::vector<KindData> m_kinds; // never shrinks: tasks of removed kinds may still run
+    std::vector<KindData> m_kinds; // never shrinks: tasks of removed kinds may still be running
     std::vector<PoolKind> m_poolKinds;
     std::map<Base::TeamId, TeamIndex> m_teamIndex;
     std::vector<TeamData> m_teams;
-    std::map<std::pair<KindIndex, std::vector<UpstreamIndex>>, GroupIndex> m_groupIndex;
-    std::vector<Group> m_groups;
-    std::vector<GroupIndex> m_unusedGroups;
-    std::vector<bool> m_blocked; // by GroupIndex, within one dispatch
+    std::map<std::pair<KindIndex, std::vector<UpstreamIndex>>, TaskGroupIndex> m_groupIndex;
+    std::vector<TaskGroup> m_groups;
+    std::vector<TaskGroupIndex> m_unusedGroups;
+    std::vector<bool> m_blocked; // by TaskGroupIndex, within one dispatch
     std::unordered_map<TaskHandle, StartedTask> m_started;
     bool m_dispatching = false;
     bool m_dispatchAgain = false;
-    bool m_waits = false; // a task waits by choice although a slot is free
+    bool m_hasDeferredTasks = false; // the policy deferred a task although a slot is free
     Base::TimePoint m_wakeUp = Base::TimePoint::max(); // max: no timer is set
     Base::TimerId m_wakeUpTimer;
 };
--- a/src/libs/scheduling/retrybudget.cpp
+++ b/src/libs/scheduling/retrybudget.cpp
@@ -1,4 +1,4 @@
-// Token balance earned by successes and time.
+// Token bucket that is refilled by successes and over time.
 #include "retrybudget.h"
 
 #include <algorithm>
@@ -19,11 +19,11 @@
 
 bool RetryBudget::tryRetry(Base::TimePoint now)
 {
-    if (m_lastEarned != Base::TimePoint()) {
-        const double seconds = std::chrono::duration<double>(now - m_lastEarned).count();
+    if (m_lastRefill != Base::TimePoint()) {
+        const double seconds = std::chrono::duration<double>(now - m_lastRefill).count();
         m_balance = std::min(m_maxBalance, m_balance + seconds * m_minimumPerSecond);
     }
-    m_lastEarned = now;
+    m_lastRefill = now;
     if (m_balance < 1)
         return false;
     m_balance -= 1;
--- a/src/libs/scheduling/retrybudget.h
+++ b/src/libs/scheduling/retrybudget.h
@@ -1,12 +1,13 @@
-// Limits retries to a fraction of the successes.
+// Limits retries to a fraction of the successful tasks.
 #pragma once
 
 #include <base/timers.h>
 
 namespace Scheduling {
 
-/// Each success earns a part of a retry; a small rate is earned by time, so that retries do not
-/// end where little succeeds. The balance is bounded, which bounds a burst of retries.
+/// Token bucket. Each success adds a fraction of a retry. A low rate is added over time, so that
+/// retries remain possible while few tasks succeed. The balance is limited, and with it the size of
+/// a burst of retries.
 class RetryBudget
 {
 public:
@@ -14,7 +15,7 @@
     RetryBudget(double retriesPerSuccess, double minimumPerSecond, double maxBalance);
 
     void taskSucceeded();
-    /// Takes one retry from the balance; false if none is left.
+    /// Takes one retry from the balance. Returns false if none is left.
     bool tryRetry(Base::TimePoint now);
 
 private:
@@ -22,7 +23,7 @@
     const double m_minimumPerSecond;
     const double m_maxBalance;
     double m_balance;
-    Base::TimePoint m_lastEarned;
+    Base::TimePoint m_lastRefill;
 };
 
 } // namespace Scheduling
--- a/src/libs/scheduling/runtimeestimate.cpp
+++ b/src/libs/scheduling/runtimeestimate.cpp
@@ -1,4 +1,4 @@
-// Exponentially weighted mean and mean deviation.
+// Exponentially weighted moving average and mean deviation.
 #include "runtimeestimate.h"
 
 #include "schedulingconstants.h"
@@ -8,7 +8,8 @@
 
 namespace Scheduling {
 
-/// Older estimates are halved for admission after each further half-life.
+/// For admission, an estimate is halved for each half-life without a result, after a grace period
+/// of at least MIN_ESTIMATE_AGE_S.
 static constexpr std::chrono::seconds ESTIMATE_HALF_LIFE_S{5};
 static constexpr std::chrono::seconds MIN_ESTIMATE_AGE_S{1};
 
@@ -38,7 +39,7 @@
     m_deviationMs = m_count > 1 ? m_deviationMs + weight * (deviation - m_deviationMs) : 0;
     m_meanMs += weight * (ms - m_meanMs);
     const double residual = std::log(ms) - m_logMean;
-    // The bound is that of SpeedEstimate: with different bounds both would drift together.
+    // The same bound as in SpeedEstimate; with different bounds both would drift together.
     m_logMean += m_count < Constants::RUN_TIME_LEARNED_RESULTS
                      ? weight * residual
                      : weight
@@ -51,25 +52,25 @@
     return fromMs(m_meanMs);
 }
 
-double RunTimeEstimate::caution(Base::TimePoint now) const
+double RunTimeEstimate::admissionDiscount(Base::TimePoint now) const
 {
     const double floor = 1 / Constants::DECLARED_RUN_TIME_ERROR_FACTOR;
     if (m_count < Constants::RUN_TIME_LEARNED_RESULTS)
         return floor;
-    // Slow kinds give results rarely although they run.
+    // Slow kinds give results rarely even while their tasks run.
     const double grace = std::max(toMs(MIN_ESTIMATE_AGE_S), 3 * (m_meanMs + m_deviationMs));
     const double idle = std::max(0.0, toMs(now - m_lastResult) - grace);
     return std::max(floor, std::exp2(-idle / toMs(ESTIMATE_HALF_LIFE_S)));
 }
 
-Base::Duration RunTimeEstimate::cautiousMean(Base::TimePoint now) const
+Base::Duration RunTimeEstimate::optimisticMean(Base::TimePoint now) const
 {
-    return fromMs(m_meanMs * caution(now));
+    return fromMs(m_meanMs * admissionDiscount(now));
 }
 
-Base::Duration RunTimeEstimate::cautiousUpper(Base::TimePoint now) const
+Base::Duration RunTimeEstimate::optimisticUpper(Base::TimePoint now) const
 {
-    return fromMs((m_meanMs + 2 * m_deviationMs) * caution(now));
+    return fromMs((m_meanMs + 2 * m_deviationMs) * admissionDiscount(now));
 }
 
 } // namespace Scheduling
--- a/src/libs/scheduling/schedulingtypes.h
+++ b/src/libs/scheduling/schedulingtypes.h
@@ -1,4 +1,4 @@
-// Indices that the parts of the scheduler use in place of textual ids.
+// Indices that are used inside the scheduler in place of textual ids.
 #pragma once
 
 #include <base/ids.h>
@@ -8,13 +8,13 @@
 using TeamIndex = Base::Number<struct TeamIndexTag>;
 using KindIndex = Base::Number<struct KindIndexTag>;
 using UpstreamIndex = Base::Number<struct UpstreamIndexTag>;
-/// Tasks of one kind that exclude the same upstreams.
-using GroupIndex = Base::Number<struct GroupIndexTag>;
+/// Identifies the queued tasks of one kind that exclude the same upstreams.
+using TaskGroupIndex = Base::Number<struct TaskGroupIndexTag>;
 
-/// Single requests, which a person waits for, come before the tasks of jobs.
+/// Priority classes, highest first: interactive single requests, then the tasks of jobs.
 enum class TaskClass { Single, Job };
 
-/// The element of \a container at \a index, which may be any Base::Number.
+/// Returns the element of \a container at \a index, which may be any Base::Number.
 template<class Container, class Index>
 decltype(auto) at(Container &container, Index index)
 {
--- a/src/libs/scheduling/slotshares.cpp
+++ b/src/libs/scheduling/slotshares.cpp
@@ -1,4 +1,4 @@
-// Rendezvous hashing per slot, and loans of slots between daemons.
+// Assigns slots by rendezvous hashing and handles loans of slots between daemons.
 #include "slotshares.h"
 
 #include <base/hash.h>
@@ -7,7 +7,8 @@
 
 namespace Scheduling {
 
-/// Requests of one incarnation; sequence numbers of different incarnations do not meet.
+/// Bits for the requests of one incarnation. The incarnation forms the higher bits, so that
+/// sequence numbers of different incarnations never coincide.
 static constexpr int SEQUENCE_BITS = 24;
 
 Base::DaemonId slotOwner(const Base::UpstreamId &upstream, std::uint32_t slot,
@@ -39,7 +40,7 @@
 
 SlotShares::~SlotShares()
 {
-    for (const auto &[when, timer] : m_announcements)
+    for (const auto &[when, timer] : m_notifyTimers)
         m_timers.cancel(timer);
 }
 
@@ -79,23 +80,23 @@
         }
     }
     if (gained)
-        announceAt(usableFrom);
+        notifyAt(usableFrom);
     m_user.slotSharesChanged();
 }
 
-/// Tells the user at \a when that slots became usable or ended.
-void SlotShares::announceAt(Base::TimePoint when)
+/// Schedules a notification at \a when, when slots become usable or a loan ends.
+void SlotShares::notifyAt(Base::TimePoint when)
 {
-    if (m_announcements.contains(when))
+    if (m_notifyTimers.contains(when))
         return;
-    m_announcements[when] = m_timers.schedule(when - m_timers.now(), [this, when] {
-        m_announcements.erase(when);
-        dropEnded();
+    m_notifyTimers[when] = m_timers.schedule(when - m_timers.now(), [this, when] {
+        m_notifyTimers.erase(when);
+        removeExpired();
         m_user.slotSharesChanged();
     });
 }
 
-void SlotShares::dropEnded()
+void SlotShares::removeExpired()
 {
     const Base::TimePoint now = m_timers.now();
     std::erase_if(m_lent, [&](const Loan &it) { return it.end <= now; });
@@ -134,7 +135,7 @@
 
 void SlotShares::exchangeLoans(std::size_t maxRequests)
 {
-    dropEnded();
+    removeExpired();
     if (m_user.hasQueuedTasks())
         requestLoans(maxRequests);
     else
@@ -144,11 +145,11 @@
 void SlotShares::requestLoans(std::size_t maxRequests)
 {
     std::size_t sent = 0;
-    auto it = m_slots.upper_bound(m_lastAsked);
+    auto it = m_slots.upper_bound(m_lastRequested);
     for (std::size_t i = 0; i < m_slots.size() && sent < maxRequests; ++i, ++it) {
         if (it == m_slots.end())
             it = m_slots.begin();
-        m_lastAsked = it->first;
+        m_lastRequested = it->first;
         std::map<Base::DaemonId, std::uint32_t> owners;
         for (std::uint32_t slot = 0; slot < it->second.size(); ++slot)
             ++owners[slotOwner(it->first, slot, m_daemons)];
@@ -172,7 +173,7 @@
         const std::uint32_t usable = usableSlots(it.upstream);
         const std::uint32_t unused = usable - std::min(usable, m_user.runningTasks(it.upstream));
         const std::uint32_t n = std::min(unused, it.slots);
-        // Whether or not the message arrives, the slots are not used any more.
+        // The slots are given up whether or not the message arrives.
         if (n == 0)
             continue;
         it.slots -= n;
@@ -186,7 +187,7 @@
 
 void SlotShares::loanReceived(const Base::DaemonId &from, const Wire::SlotLoan &message)
 {
-    dropEnded();
+    removeExpired();
     if (message.returned)
         acceptReturn(from, message);
     else if (message.durationMs == 0)
@@ -201,22 +202,22 @@
         return;
     const Base::UpstreamId upstream(request.upstream);
     const std::uint32_t own = ownSlots(upstream);
-    // All running tasks count against the own slots, as a borrowed slot may not be lent on.
+    // All running tasks count against the own slots, since borrowed slots must not be lent on.
     const std::uint32_t used = lentSlots(upstream) + m_user.runningTasks(upstream);
     const auto n = static_cast<std::uint32_t>(
         std::min<std::uint64_t>(request.slots, own - std::min(own, used)));
     if (n == 0)
         return;
     const auto ms = static_cast<std::uint64_t>(Base::toMilliseconds(m_options.loanDuration));
-    // Counted before it is sent, and also if the message is lost.
+    // Counted as lent before the message is sent, and also if the message is lost.
     const Base::TimePoint end = m_timers.now() + m_options.loanDuration + m_options.maxTaskTime;
     m_lent.push_back({upstream, borrower, request.sequence, n, end});
     const Wire::SlotLoan loan{request.upstream, n, ms, false, request.sequence};
     if (!m_peers.send(borrower, loan)) {
-        m_lent.pop_back(); // certainly not sent
+        m_lent.pop_back(); // the message was certainly not sent
         return;
     }
-    announceAt(end);
+    notifyAt(end);
     m_user.slotSharesChanged();
 }
 
@@ -239,15 +240,15 @@
         return;
     }
     const Request request = it->second;
-    m_requests.erase(it); // a repeated grant has no effect
+    m_requests.erase(it); // so that a duplicate grant has no effect
     const Base::Duration duration = std::min<Base::Duration>(
         std::chrono::milliseconds(message.durationMs), m_options.loanDuration);
-    const Base::TimePoint end = request.sent + duration - m_options.loanAllowance;
+    const Base::TimePoint end = request.sent + duration - m_options.loanSafetyMargin;
     if (end <= m_timers.now())
         return;
     const auto slots = static_cast<std::uint32_t>(message.slots);
     m_borrowed.push_back({request.upstream, lender, message.sequence, slots, end});
-    announceAt(end);
+    notifyAt(end);
     m_user.slotSharesChanged();
 }
 
--- a/src/libs/scheduling/slotshares.h
+++ b/src/libs/scheduling/slotshares.h
@@ -1,4 +1,5 @@
-// Partition of the domain's upstream slots among the live daemons of the domain, with loans.
+// Partitions the upstream slots of a domain among its live daemons, which can lend each other
+// slots.
 #pragma once
 
 #include "taskscheduler.h"
@@ -11,47 +12,48 @@
 
 namespace Scheduling {
 
-/// The owner of slot \a slot of \a upstream among \a daemons: the highest rendezvous hash. Daemons
-/// with the same list agree without messages, and a change moves only the slots of the daemon that
-/// changed. Returns an empty id if \a daemons is empty.
+/// Returns the owner of slot \a slot of \a upstream among \a daemons: the one with the highest
+/// rendezvous hash. Daemons with the same list agree without messages, and when a daemon is added
+/// or removed, only its slots move. Returns an empty id if \a daemons is empty.
 Base::DaemonId slotOwner(const Base::UpstreamId &upstream, std::uint32_t slot,
                          const std::set<Base::DaemonId> &daemons);
 
-/// What this daemon does with its slots.
+/// Interface to the code of this daemon that runs tasks in the slots.
 class SlotUser
 {
 public:
     virtual ~SlotUser() = default;
 
-    /// Tasks of this daemon that run, or may run, on \a upstream.
+    /// Number of tasks of this daemon that are, or may be, running on \a upstream.
     virtual std::uint32_t runningTasks(const Base::UpstreamId &upstream) const = 0;
     /// A daemon with queued tasks borrows and does not lend.
     virtual bool hasQueuedTasks() const = 0;
-    /// SlotShares::usableSlots() has changed; it must be applied before the next start.
+    /// Called when SlotShares::usableSlots() changed. It must be applied before the next start.
     virtual void slotSharesChanged() = 0;
 };
 
 struct SlotShareOptions
 {
-    /// Longest time from a start to the certain end of a task.
+    /// Maximum time from the start of a task until it has certainly ended.
     Base::Duration maxTaskTime = std::chrono::seconds(8);
-    /// Longest time by which the daemons' lists of live daemons differ.
+    /// Maximum time for which the daemons' lists of live daemons differ.
     Base::Duration membershipLag = std::chrono::seconds(2);
     Base::Duration loanDuration = std::chrono::seconds(2);
-    /// The borrower stops starting this long before the loan ends: clock drift, and the time from
-    /// the check to the start at the worker.
-    Base::Duration loanAllowance = std::chrono::milliseconds(200);
+    /// The borrower starts no more tasks this long before the loan ends, to allow for clock drift
+    /// and for the time from the check to the start at the worker.
+    Base::Duration loanSafetyMargin = std::chrono::milliseconds(200);
 };
 
-/// Tells which slots this daemon may use. No slot is used by two daemons at once, provided that the
-/// lists of live daemons come from the same source and differ for at most membershipLag:
-/// - A slot that this daemon did not own before, and each slot after a restart, is used only after
-///   membershipLag, a loan and the longest task, when the former owner's use must have ended.
-/// - A lent slot counts as used until the borrower returns it, or until the loan and the longest
-///   task after it have ended.
+/// Determines which slots this daemon may use. No slot is used by two daemons at once, provided
+/// that the lists of live daemons come from the same source and differ for at most membershipLag:
+/// - A newly owned slot, and every slot after a restart, is used only after membershipLag plus
+///   loanDuration plus maxTaskTime, when the previous owner must have stopped using it.
+/// - A lent slot counts as used until the borrower returns it, or until loanDuration plus
+///   maxTaskTime have passed.
 /// - A borrower measures the loan from the time at which it sent the request, so that a late grant
-///   is a shorter loan and not a longer one.
-/// Where the lists differ for longer, the worker's refusal beyond its slots is what remains.
+///   makes the loan shorter and never longer.
+/// If the lists differ for longer, the only remaining protection is that workers refuse tasks
+/// beyond their slots.
 class SlotShares
 {
 public:
@@ -61,19 +63,20 @@
     SlotShares(const SlotShares &) = delete;
     SlotShares &operator=(const SlotShares &) = delete;
 
-    /// Slots of each upstream of the domain; upstreams that are missing are gone.
+    /// Sets the number of slots of each upstream of the domain. Missing upstreams are removed.
     void setUpstreams(const std::map<Base::UpstreamId, std::uint32_t> &slots);
-    /// The live daemons of the domain, this one included, as the membership list states them.
+    /// Sets the live daemons of the domain, including this one, as given by the membership list.
     void setLiveDaemons(const std::set<Base::DaemonId> &daemons);
 
-    /// Slots for the tasks of this daemon, the running ones included, at this moment. To be checked
-    /// immediately before a start, as a loan may have ended while the process was paused.
+    /// Number of slots that this daemon may use now, including those of its running tasks. Must be
+    /// checked immediately before each start, since a loan may have ended while the process was
+    /// paused.
     std::uint32_t usableSlots(const Base::UpstreamId &upstream) const;
-    /// Own slots that borrowers may still use.
+    /// Number of own slots that borrowers may still use.
     std::uint32_t lentSlots(const Base::UpstreamId &upstream) const;
 
-    /// Asks for loans if tasks are queued and returns borrowed slots if none are. To be called
-    /// periodically; sends at most \a maxRequests requests.
+    /// Requests loans if tasks are queued, and returns borrowed slots otherwise. To be called
+    /// periodically. Sends at most \a maxRequests requests.
     void exchangeLoans(std::size_t maxRequests);
     void loanReceived(const Base::DaemonId &from, const Wire::SlotLoan &message);
 
@@ -89,7 +92,7 @@
         Base::DaemonId peer;
         std::uint64_t sequence = 0;
         std::uint32_t slots = 0;
-        Base::TimePoint end; // as lender: of all use; as borrower: of starts
+        Base::TimePoint end; // lender: end of all use; borrower: last time for a start
     };
     struct Request
     {
@@ -101,8 +104,8 @@
 
     Base::Duration takeOverDelay() const;
     void updateOwners();
-    void announceAt(Base::TimePoint when);
-    void dropEnded();
+    void notifyAt(Base::TimePoint when);
+    void removeExpired();
     std::uint32_t ownSlots(const Base::UpstreamId &upstream) const;
     void requestLoans(std::size_t maxRequests);
     void returnLoans();
@@ -121,8 +124,8 @@
     std::vector<Loan> m_lent;
     std::vector<Loan> m_borrowed;
     std::map<std::uint64_t, Request> m_requests; // unanswered, by sequence
-    Base::UpstreamId m_lastAsked;
-    std::map<Base::TimePoint, Base::TimerId> m_announcements;
+    Base::UpstreamId m_lastRequested;
+    std::map<Base::TimePoint, Base::TimerId> m_notifyTimers;
 };
 
 } // namespace Scheduling
--- a/src/libs/scheduling/speedestimate.cpp
+++ b/src/libs/scheduling/speedestimate.cpp
@@ -1,4 +1,4 @@
-// Exponentially weighted mean of the logarithm of the speed.
+// Exponentially weighted moving average of the logarithm of the speed.
 #include "speedestimate.h"
 
 #include "schedulingconstants.h"
--- a/src/libs/scheduling/speedestimate.h
+++ b/src/libs/scheduling/speedestimate.h
@@ -1,21 +1,21 @@
-// Learned speed of one upstream relative to the others.
+// Estimated speed of one upstream relative to the others.
 #pragma once
 
 #include <base/timers.h>
 
 namespace Scheduling {
 
-/// Speed 1 is the speed for which the run times of the kinds hold; 2 is twice as fast. The mean is
-/// taken over logarithms, which makes it robust to single long tasks.
+/// The run times of the kinds refer to speed 1; speed 2 is twice as fast. The mean is taken over
+/// logarithms, which makes it robust against single long tasks.
 class SpeedEstimate
 {
 public:
-    /// A task took \a runTime; \a kindLogMean is the mean logarithm of its kind's run time in ms at
-    /// speed 1.
+    /// Records that a task took \a runTime. \a kindLogMean is the mean logarithm of the run time of
+    /// its kind, in ms at speed 1.
     void add(Base::Duration runTime, double kindLogMean);
 
     double speed() const { return m_speed; }
-    /// Step of the speed on a logarithmic scale; higher is faster.
+    /// Index of the speed on a logarithmic scale; higher is faster.
     int bucket() const { return m_bucket; }
     /// Lowest speed of \a bucket.
     static double bucketSpeed(int bucket);
--- a/src/libs/scheduling/taskscheduler.h
+++ b/src/libs/scheduling/taskscheduler.h
@@ -1,5 +1,5 @@
-// Interface between the parts that hold requests and the part that decides which task starts next
-// and where. The scheduler does no I/O: it tells a TaskStarter what to start.
+// Interface of the scheduler, which decides which task starts next and where. The scheduler does no
+// I/O; it tells a TaskStarter what to start.
 #pragma once
 
 #include <absl/status/status.h>
@@ -13,31 +13,31 @@
 
 namespace Scheduling {
 
-/// Chosen by the holder of the task; unique among the tasks that the scheduler knows.
+/// Chosen by the caller; unique among the queued and running tasks of the scheduler.
 using TaskHandle = Base::Number<struct TaskHandleTag>;
 
-/// A task that waits for a slot.
+/// A task to be queued.
 struct TaskDescription
 {
     TaskHandle handle;
     Base::TeamId team;
     Base::KindId kind;
-    bool single = false; // a person waits for it; the tasks of jobs come after singles
+    bool single = false; // interactive; starts before the tasks of jobs
     Base::TimePoint deadline;
-    std::vector<Base::UpstreamId> excluded; // upstreams that refused it before
+    std::vector<Base::UpstreamId> excluded; // upstreams that refused the task before
 };
 
-/// What became of a started task.
+/// Outcome of a started task.
 enum class TaskResult {
     Succeeded,
     Failed,    ///< It ran and reported an error.
     Refused,   ///< The upstream certainly did not and will not start it.
-    Lost,      ///< Its fate can't be established.
+    Lost,      ///< Its outcome is unknown.
     Cancelled, ///< It was stopped on the caller's request.
 };
 
-/// Receives the scheduler's decisions. Called on the loop, possibly from within enqueue() and
-/// taskFinished().
+/// Receives the decisions of the scheduler. Called on the event loop, possibly from within
+/// enqueue() and taskFinished().
 class TaskStarter
 {
 public:
@@ -46,7 +46,7 @@
     virtual void startTask(TaskHandle task, const Base::UpstreamId &upstream) = 0;
 };
 
-/// What the scheduler may use of one upstream now.
+/// The part of one upstream that this daemon may use at present.
 struct UpstreamAvailability
 {
     std::uint32_t slots = 0; // this daemon's share
@@ -55,7 +55,7 @@
     bool operator==(const UpstreamAvailability &) const = default;
 };
 
-/// A request that asks for admission.
+/// A request to be admitted or refused.
 struct AdmissionRequest
 {
     Base::TeamId team;
@@ -64,7 +64,7 @@
     Base::TimePoint deadline;
 };
 
-/// The verdict on a request. If \a status is not OK the request must be refused as not run.
+/// Result of an admission check. If \a status is not OK, the request must be refused as not run.
 struct Admission
 {
     absl::Status status; // overloaded, quotaExceeded, deadlineImpossible, unservable
@@ -77,15 +77,15 @@
 public:
     virtual ~TaskScheduler() = default;
 
-    /// Sets the kinds, teams and upstreams in force. Tasks that wait or run stay known.
+    /// Sets the kinds, teams and upstreams. Queued and running tasks are kept.
     virtual void setManifest(const Manifest::Manifest &manifest) = 0;
-    /// Sets the shares of upstreams; upstreams that are missing have no slots for this daemon.
+    /// Sets this daemon's shares of the upstreams. It has no slots on upstreams that are missing.
     virtual void
     setAvailability(const std::map<Base::UpstreamId, UpstreamAvailability> &availability) = 0;
 
     virtual Admission admit(const AdmissionRequest &request) const = 0;
     virtual void enqueue(TaskDescription task) = 0;
-    /// Removes a task that still waits. Returns false if it has been started or is unknown.
+    /// Removes a queued task. Returns false if the task was started or is unknown.
     virtual bool withdraw(TaskHandle task) = 0;
     /// Reports the end of a started task, which frees its slot.
     virtual void taskFinished(TaskHandle task, TaskResult result, Base::Duration runTime) = 0;
--- a/src/libs/scheduling/upstreamhealth.cpp
+++ b/src/libs/scheduling/upstreamhealth.cpp
@@ -1,17 +1,17 @@
-// Consecutive failures and failure rate against that of the whole pool.
+// Counts consecutive failures and compares the failure rate with that of the pool.
 #include "upstreamhealth.h"
 
 #include <algorithm>
 
 namespace Scheduling {
 
-/// Executors with 8 slots reach this within a second when tasks last up to a second.
+/// An executor with 8 slots reaches this within a second if tasks take up to a second.
 static constexpr int CONSECUTIVE_FAILURES = 5;
-/// For upstreams that fail most tasks, but not all.
+/// Detects upstreams that fail most tasks, but not all.
 static constexpr double FAILURE_RATE = 0.5;
 static constexpr double MIN_RATE_RESULTS = 20;
 static constexpr double RATE_NEWEST_WEIGHT = 0.05;
-/// The upstream must fail this much more than the pool as a whole.
+/// Minimum ratio of the failure rate of an ejected upstream to that of the pool.
 static constexpr double MIN_RATIO_TO_POOL = 2;
 static constexpr std::chrono::seconds FIRST_PROBE_INTERVAL_S{1};
 static constexpr std::chrono::seconds MAX_PROBE_INTERVAL_S{30};
@@ -37,7 +37,7 @@
 
 void UpstreamHealth::eject(Base::TimePoint now)
 {
-    // An upstream that fails again soon after it was reinstated keeps its long interval.
+    // If an upstream fails again soon after it was reinstated, the back-off continues.
     const bool relapsed = m_probeInterval.count() > 0 && now - m_reinstated < m_probeInterval * 4;
     if (m_ejected || relapsed) {
         m_probeInterval = std::min<Base::Duration>(m_probeInterval * 2, MAX_PROBE_INTERVAL_S);
--- a/src/libs/scheduling/upstreamhealth.h
+++ b/src/libs/scheduling/upstreamhealth.h
@@ -1,27 +1,27 @@
-// Detects an upstream that fails everything.
+// Detects upstreams that fail all or most of their tasks.
 #pragma once
 
 #include "taskscheduler.h"
 
 namespace Scheduling {
 
-/// Health of one upstream. Ejection is proposed here and decided by the UpstreamPool, which bounds
-/// the number of ejected upstreams.
+/// Health of one upstream. This class proposes ejection; the UpstreamPool decides and limits the
+/// number of ejected upstreams.
 class UpstreamHealth
 {
 public:
-    /// \a poolFailureRate is the recent share of failures among the results of all upstreams: where
-    /// most tasks fail everywhere, the tasks are at fault and not the upstream.
-    /// Returns true if the upstream ought to be ejected.
+    /// Returns true if the upstream should be ejected. \a poolFailureRate is the recent failure
+    /// rate of all upstreams: if most tasks fail everywhere, the tasks are at fault, not the
+    /// upstream.
     bool add(TaskResult result, double poolFailureRate);
 
-    /// Stops regular use until a probe succeeds. The first probe is due after a second, each later
-    /// one after twice the time.
+    /// Stops regular use until a probe succeeds. The first probe is due after a second; the
+    /// interval doubles with each further one.
     void eject(Base::TimePoint now);
     bool isEjected() const { return m_ejected; }
     Base::TimePoint nextProbe() const { return m_nextProbe; }
     bool isProbeDue(Base::TimePoint now) const { return m_ejected && now >= m_nextProbe; }
-    /// A probe succeeded.
+    /// Resumes regular use after a successful probe.
     void reinstate(Base::TimePoint now);
 
 private:
--- a/src/libs/scheduling/upstreampool.cpp
+++ b/src/libs/scheduling/upstreampool.cpp
@@ -8,11 +8,11 @@
 
 namespace Scheduling {
 
-/// Results over which the failure rate of the pool is taken, as a weight of the newest.
+/// Weight of the newest result in the failure rate of the pool.
 static constexpr double POOL_RATE_NEWEST_WEIGHT = 0.01;
-/// Upstreams that leave or are full may be ahead of those that can be tried.
+/// Upstreams that are leaving or full can come before the first eligible one; bounds the search.
 static constexpr int MAX_STALE_CANDIDATES = 64;
-/// Sums of resources are floating-point numbers.
+/// Allows for rounding errors in sums of resources.
 static constexpr double RESOURCE_TOLERANCE = 1e-6;
 
 static bool fits(const Manifest::Resources &need, const Manifest::Resources &used,
@@ -114,7 +114,7 @@
             byKind.slotsByBucket[static_cast<std::size_t>(state.speed.bucket())] += state.slots;
             byKind.slots += state.slots;
         }
-        refresh(UpstreamIndex(i));
+        updateFreeIndex(UpstreamIndex(i));
     }
 }
 
@@ -125,8 +125,8 @@
     return fits(at(m_kinds, kind).resources, upstream.used, upstream.resources);
 }
 
-/// Brings the index of free upstreams in line with the state of \a index.
-void UpstreamPool::refresh(UpstreamIndex index)
+/// Updates the index of free upstreams after a change of the state of \a index.
+void UpstreamPool::updateFreeIndex(UpstreamIndex index)
 {
     const UpstreamState &state = at(m_upstreams, index);
     const bool open = !state.health.isEjected() || m_probing.contains(index);
@@ -196,7 +196,7 @@
     state.lastStart = now;
     if (state.health.isEjected())
         m_probing.erase(upstream); // one probe at a time
-    refresh(upstream);
+    updateFreeIndex(upstream);
 }
 
 bool UpstreamPool::mayEject() const
@@ -218,11 +218,11 @@
     const bool failed = result != TaskResult::Succeeded && result != TaskResult::Cancelled;
     if (result != TaskResult::Cancelled)
         m_failureRate += POOL_RATE_NEWEST_WEIGHT * ((failed ? 1 : 0) - m_failureRate);
-    const bool propose = state.health.add(result, m_failureRate);
+    const bool ejectionProposed = state.health.add(result, m_failureRate);
     if (result == TaskResult::Succeeded)
         updateSpeed(upstream, runTime, kindLogMean);
     if (!state.health.isEjected()) {
-        if (propose && mayEject()) {
+        if (ejectionProposed && mayEject()) {
             state.health.eject(now);
             m_ejected.insert(upstream);
             Base::log(Base::LogLevel::Warning, "upstreamEjected", {{"upstream", state.id}});
@@ -237,9 +237,9 @@
         rebuild();
         return;
     } else if (failed && now >= state.health.nextProbe()) {
-        state.health.eject(now); // a failed probe; earlier failures are of tasks from before
+        state.health.eject(now); // failed probe; earlier failures are of older tasks
     }
-    refresh(upstream);
+    updateFreeIndex(upstream);
 }
 
 void UpstreamPool::updateSpeed(UpstreamIndex index, Base::Duration runTime, double kindLogMean)
@@ -269,7 +269,7 @@
         const UpstreamState &state = at(m_upstreams, it);
         if (state.inUse > 0 || !state.health.isProbeDue(now) || !m_probing.insert(it).second)
             continue;
-        refresh(it);
+        updateFreeIndex(it);
     }
 }
 
--- a/src/libs/scheduling/upstreampool.h
+++ b/src/libs/scheduling/upstreampool.h
@@ -1,4 +1,4 @@
-// The upstreams that this daemon may use: slots, resources, racks, speeds and health.
+// Upstreams that this daemon may use, with slots, resources, racks, speeds and health.
 #pragma once
 
 #include "schedulingconstants.h"
@@ -15,13 +15,13 @@
 
 namespace Scheduling {
 
-/// Everything known about one upstream.
+/// State of one upstream.
 struct UpstreamState
 {
     Base::UpstreamId id;
     std::size_t rack = 0;
     Manifest::Resources resources;
-    std::vector<KindIndex> kinds; // kinds that it may run, by group and resources
+    std::vector<KindIndex> kinds; // kinds that it can run, by group and resources
     bool leaving = false;
     std::uint32_t slots = 0; // this daemon's share
     std::uint32_t inUse = 0;
@@ -30,11 +30,11 @@
     UpstreamHealth health;
     Base::TimePoint lastStart;
 
-    /// Takes regular work.
+    /// Whether regular work may start here, given a free slot.
     bool isUsable() const { return slots > 0 && !leaving && !health.isEjected(); }
 };
 
-/// What the pool needs to know about a kind.
+/// Properties of a kind that the pool uses.
 struct PoolKind
 {
     Base::KindId id;
@@ -43,12 +43,12 @@
 };
 
 /// Upstreams with a free slot are indexed by kind and speed. Starting and finishing a task cost
-/// O(log n) in the number of upstreams, times the kinds of the upstream where the free state
-/// changes.
+/// O(log n) in the number of upstreams, times the number of kinds of the upstream for which the
+/// availability of a free slot changes.
 class UpstreamPool
 {
 public:
-    /// Usable slots, and the work in ms that they do per ms.
+    /// Usable slots, and the work that they do, in ms per ms.
     struct Capacity
     {
         double work = 0;
@@ -67,22 +67,22 @@
         }
     };
 
-    /// \a kinds by KindIndex. Upstreams that are not in \a upstreams any more take no new work.
+    /// \a kinds is indexed by KindIndex. Upstreams no longer in \a upstreams get no new work.
     void setUpstreams(const std::map<Base::UpstreamId, Manifest::Upstream> &upstreams,
                       std::vector<PoolKind> kinds);
     void setAvailability(const std::map<Base::UpstreamId, UpstreamAvailability> &availability);
 
     void taskStarted(UpstreamIndex upstream, const Manifest::Resources &resources,
                      Base::TimePoint now);
-    /// Frees the slot and \a resources, which must be those given at the start, and learns from the
-    /// result. \a kindLogMean as for SpeedEstimate::add().
+    /// Frees the slot and \a resources, which must be those given to taskStarted(), and updates the
+    /// speed and health of the upstream. For \a kindLogMean see SpeedEstimate::add().
     void taskFinished(UpstreamIndex upstream, const Manifest::Resources &resources,
                       TaskResult result, Base::Duration runTime, double kindLogMean,
                       Base::TimePoint now);
 
-    /// Makes ejected upstreams whose probe is due available for one task.
+    /// Makes each ejected upstream whose probe is due available for one task.
     void updateProbes(Base::TimePoint now);
-    /// When updateProbes() has work again; TimePoint::max() if nothing is ejected.
+    /// Next time at which updateProbes() has to be called; TimePoint::max() if there is none.
     Base::TimePoint nextProbe() const;
 
     bool hasFree(KindIndex kind) const { return !at(m_byKind, kind).free.empty(); }
@@ -91,9 +91,9 @@
     {
         return at(m_byKind, kind).freeList;
     }
-    /// A usable upstream with a free slot for \a kind whose last start was before \a since.
+    /// Returns a usable upstream with a free slot for \a kind whose last start was before \a since.
     std::optional<UpstreamIndex> staleUpstream(KindIndex kind, Base::TimePoint since) const;
-    /// Slots times speed of the usable upstreams of \a kind.
+    /// Sum of slots times speed over the usable upstreams of \a kind.
     double capacity(KindIndex kind) const { return at(m_byKind, kind).capacity; }
     /// The part of capacity() and usableSlots() that is faster than \a bucket.
     Capacity capacityAbove(KindIndex kind, int bucket) const;
@@ -104,11 +104,12 @@
     {
         return at(m_kinds, kind).resources;
     }
-    /// Declared upstreams that may run \a kind, available or not.
+    /// Number of declared upstreams that can run \a kind, available or not.
     std::size_t declaredCount(KindIndex kind) const { return at(m_byKind, kind).declared; }
-    /// Listed upstreams for \a kind that do not leave, also where another daemon has all slots.
+    /// Number of available upstreams for \a kind that are not leaving, including those where other
+    /// daemons have all slots.
     std::size_t listedCount(KindIndex kind) const { return at(m_byKind, kind).listed; }
-    /// Whether the kinds share an upstream.
+    /// Whether there is an upstream that can run both kinds.
     bool overlap(KindIndex a, KindIndex b) const { return at(at(m_overlap, a), b); }
 
     const UpstreamState &upstream(UpstreamIndex index) const { return at(m_upstreams, index); }
@@ -121,7 +122,7 @@
     struct KindState
     {
         std::set<FreeKey> free;
-        std::vector<UpstreamIndex> freeList; // same members, in no order
+        std::vector<UpstreamIndex> freeList; // the same upstreams, unordered
         std::vector<std::size_t> position;   // by UpstreamIndex: 1 + index in freeList, 0 if absent
         std::array<std::uint32_t, Constants::SPEED_BUCKETS> slotsByBucket{}; // usable slots
         double capacity = 0;
@@ -131,7 +132,7 @@
     };
 
     bool canStart(const UpstreamState &upstream, KindIndex kind) const;
-    void refresh(UpstreamIndex index);
+    void updateFreeIndex(UpstreamIndex index);
     void rebuild();
     void applyAvailability();
     void updateSpeed(UpstreamIndex index, Base::Duration runTime, double kindLogMean);
@@ -141,7 +142,7 @@
     std::vector<PoolKind> m_kinds;
     std::vector<KindState> m_byKind;
     std::vector<std::vector<bool>> m_overlap;
-    std::vector<UpstreamState> m_upstreams; // never shrinks: tasks may still run there
+    std::vector<UpstreamState> m_upstreams; // never shrinks: tasks may still be running there
     std::vector<bool> m_listed;             // available and not leaving
     std::map<Base::UpstreamId, UpstreamAvailability> m_availability;
     std::map<Base::UpstreamId, UpstreamIndex> m_indexOf;
@@ -149,7 +150,7 @@
     std::vector<std::size_t> m_rackInUse;
     std::set<std::pair<Base::TimePoint, UpstreamIndex>> m_byLastStart;
     std::set<UpstreamIndex> m_ejected;
-    std::set<UpstreamIndex> m_probing; // ejected and open for one task
+    std::set<UpstreamIndex> m_probing; // ejected and available for one task
     double m_failureRate = 0;
 };
 
--- a/tests/auto/scheduling/tst_queuescheduler.cpp
+++ b/tests/auto/scheduling/tst_queuescheduler.cpp
@@ -61,10 +61,10 @@
     SchedulerFixture f;
     for (int i = 0; i < 8; ++i)
         f.enqueue("audit");
-    const TaskHandle waiting = f.enqueue("audit");
+    const TaskHandle queued = f.enqueue("audit");
     BOOST_TEST(!f.scheduler.withdraw(f.starter.starts[0].task));
-    BOOST_TEST(f.scheduler.withdraw(waiting));
-    BOOST_TEST(!f.scheduler.withdraw(waiting));
+    BOOST_TEST(f.scheduler.withdraw(queued));
+    BOOST_TEST(!f.scheduler.withdraw(queued));
     f.scheduler.taskFinished(f.starter.starts[0].task, TaskResult::Cancelled, 1ms);
     BOOST_TEST(f.starter.starts.size() == 8);
     BOOST_TEST(f.scheduler.queuedCount() == 0);
--- a/tests/auto/scheduling/tst_schedulingparts.cpp
+++ b/tests/auto/scheduling/tst_schedulingparts.cpp
@@ -10,12 +10,12 @@
 using namespace Scheduling;
 using namespace TestSupport;
 
-static const auto anyGroup = [](GroupIndex) { return true; };
+static const auto anyGroup = [](TaskGroupIndex) { return true; };
 
-static WaitingTask waitingTask(std::uint64_t handle, std::uint64_t team, std::uint64_t group = 0,
-                               Base::Duration deadline = 1s, TaskClass taskClass = TaskClass::Job)
+static QueuedTask queuedTask(std::uint64_t handle, std::uint64_t team, std::uint64_t group = 0,
+                             Base::Duration deadline = 1s, TaskClass taskClass = TaskClass::Job)
 {
-    return {TaskHandle(handle), taskClass, TeamIndex(team), GroupIndex(group),
+    return {TaskHandle(handle), taskClass, TeamIndex(team), TaskGroupIndex(group),
             Base::TimePoint(deadline)};
 }
 
@@ -23,24 +23,24 @@
 BOOST_AUTO_TEST_CASE(fairQueueOrder)
 {
     FairQueue queue(5);
-    BOOST_TEST(queue.push(waitingTask(1, 0, 0, 3s)));
-    BOOST_TEST(queue.push(waitingTask(2, 0, 1, 2s)));
-    BOOST_TEST(queue.push(waitingTask(3, 0, 0, 1s, TaskClass::Single)));
-    BOOST_TEST(!queue.push(waitingTask(3, 0)));
+    BOOST_TEST(queue.push(queuedTask(1, 0, 0, 3s)));
+    BOOST_TEST(queue.push(queuedTask(2, 0, 1, 2s)));
+    BOOST_TEST(queue.push(queuedTask(3, 0, 0, 1s, TaskClass::Single)));
+    BOOST_TEST(!queue.push(queuedTask(3, 0)));
     BOOST_TEST(queue.next(TaskClass::Single, anyGroup)->handle == TaskHandle(3));
     BOOST_TEST(queue.next(TaskClass::Job, anyGroup)->handle == TaskHandle(2));
-    BOOST_TEST(queue.next(TaskClass::Job, [](GroupIndex it) { return it.value() == 0; })->handle
+    BOOST_TEST(queue.next(TaskClass::Job, [](TaskGroupIndex it) { return it.value() == 0; })->handle
                == TaskHandle(1));
     BOOST_TEST(queue.start(TaskHandle(2), 10ms));
-    BOOST_TEST(queue.push(waitingTask(4, 1, 0, 9s)));
+    BOOST_TEST(queue.push(queuedTask(4, 1, 0, 9s)));
     // Team 0 has been served, team 1 has not; the earlier deadline does not count between teams.
     BOOST_TEST(queue.next(TaskClass::Job, anyGroup)->handle == TaskHandle(4));
     BOOST_TEST(queue.withdraw(TaskHandle(4)));
     BOOST_TEST(!queue.withdraw(TaskHandle(4)));
-    BOOST_TEST(queue.push(waitingTask(5, 0)));
-    BOOST_TEST(queue.push(waitingTask(6, 0)));
-    BOOST_TEST(queue.push(waitingTask(7, 0)));
-    BOOST_TEST(!queue.push(waitingTask(8, 0))); // full
+    BOOST_TEST(queue.push(queuedTask(5, 0)));
+    BOOST_TEST(queue.push(queuedTask(6, 0)));
+    BOOST_TEST(queue.push(queuedTask(7, 0)));
+    BOOST_TEST(!queue.push(queuedTask(8, 0))); // full
 }
 
 // Guards against unfair shares, and against a team that gains credit while it is idle.
@@ -52,7 +52,7 @@
     const auto fill = [&](std::uint64_t team) {
         for (int i = 0; i < 1000; ++i) {
             ++handle;
-            queue.push(waitingTask(handle, team, handle % 3));
+            queue.push(queuedTask(handle, team, handle % 3));
         }
     };
     const auto serve = [&](int n) {
@@ -82,11 +82,11 @@
 {
     std::mt19937_64 random(7);
     FairQueue queue(300);
-    std::map<std::uint64_t, WaitingTask> model;
+    std::map<std::uint64_t, QueuedTask> model;
     for (std::uint64_t i = 1; i <= 20000; ++i) {
         const auto task =
-            waitingTask(i, random() % 9, random() % 4, std::chrono::seconds(random() % 5),
-                        random() % 2 ? TaskClass::Job : TaskClass::Single);
+            queuedTask(i, random() % 9, random() % 4, std::chrono::seconds(random() % 5),
+                       random() % 2 ? TaskClass::Job : TaskClass::Single);
         const bool pushed = queue.push(task);
         BOOST_REQUIRE(pushed == (model.size() < 300));
         if (pushed)
@@ -96,9 +96,9 @@
             BOOST_REQUIRE(queue.withdraw(it->second.handle));
             model.erase(it);
         }
-        const GroupIndex closed(random() % 4);
+        const TaskGroupIndex closed(random() % 4);
         const auto next =
-            queue.next(task.taskClass, [&](GroupIndex group) { return group != closed; });
+            queue.next(task.taskClass, [&](TaskGroupIndex group) { return group != closed; });
         const bool expected = std::any_of(model.begin(), model.end(), [&](const auto &it) {
             return it.second.taskClass == task.taskClass && it.second.group != closed;
         });
@@ -157,7 +157,7 @@
         for (int i = 0; i < 40; ++i)
             estimate.add(i % 2 ? 30ms : 70ms, 2, now);
         BOOST_TEST(Base::toMilliseconds(estimate.mean()) == 100, boost::test_tools::tolerance(0.1));
-        BOOST_TEST(Base::toMilliseconds(estimate.cautiousUpper(now)) >= 160);
-        BOOST_TEST(Base::toMilliseconds(estimate.cautiousMean(now + 1min)) <= 20);
+        BOOST_TEST(Base::toMilliseconds(estimate.optimisticUpper(now)) >= 160);
+        BOOST_TEST(Base::toMilliseconds(estimate.optimisticMean(now + 1min)) <= 20);
     }
 }
--- a/tests/auto/scheduling/tst_slotshares.cpp
+++ b/tests/auto/scheduling/tst_slotshares.cpp
@@ -71,7 +71,7 @@
         options.maxTaskTime = MAX_TASK_TIME;
         options.membershipLag = MEMBERSHIP_LAG;
         options.loanDuration = 400ms;
-        options.loanAllowance = 20ms;
+        options.loanSafetyMargin = 20ms;
         m_incarnation = m_incarnation.next();
         daemon.shares = std::make_unique<SlotShares>(
             timers, daemon, daemon, Base::DaemonId(daemonName(index)), m_incarnation, options);
