--- a/tests/auto/scheduling/schedulerfixture.h
+++ b/tests/auto/scheduling/schedulerfixture.h
@@ -1,4 +1,4 @@
-// A QueueScheduler with a manifest of four upstreams and a starter that records starts.
+// QueueScheduler with a manifest of four upstreams and a starter that records the starts.
 #pragma once
 
 #include <scheduling/queuescheduler.h>
--- a/tests/auto/scheduling/tst_queuescheduler.cpp
+++ b/tests/auto/scheduling/tst_queuescheduler.cpp
@@ -1,4 +1,4 @@
-// Tests of the scheduler as a whole.
+// Tests of QueueScheduler.
 #include "schedulerfixture.h"
 
 #include <base/failure.h>
@@ -11,7 +11,7 @@
 using namespace TestSupport;
 using Base::FailureCode;
 
-// Guards against a slot, or a resource, that is used beyond the declaration.
+// Guards against use of more slots or resources than an upstream declares.
 BOOST_AUTO_TEST_CASE(startsNoMoreThanSlotsAndResources)
 {
     SchedulerFixture f;
@@ -35,8 +35,8 @@
     BOOST_TEST(gpus.starter.starts[1].upstream == "u0");
 }
 
-// Guards against job tasks ahead of single requests, and against a kind without a free slot that
-// holds up the others.
+// Guards against job tasks that start before single requests, and against a kind without a free
+// slot that blocks the other kinds.
 BOOST_AUTO_TEST_CASE(singlesFirstAndBlockedKindsSkipped)
 {
     SchedulerFixture f;
@@ -55,8 +55,8 @@
     BOOST_TEST(f.starter.starts.back().upstream == "u0");
 }
 
-// Guards against a withdrawn task that starts, and against a started one reported as withdrawn.
-BOOST_AUTO_TEST_CASE(withdrawOnlyWhileWaiting)
+// Guards against a withdrawn task that starts, and a started task reported as withdrawn.
+BOOST_AUTO_TEST_CASE(withdrawOnlyWhileQueued)
 {
     SchedulerFixture f;
     for (int i = 0; i < 8; ++i)
@@ -71,9 +71,9 @@
     BOOST_TEST(f.scheduler.startedCount() == 7);
 }
 
-// Guards against new work on an upstream that leaves, is no longer listed, or was removed from the
-// manifest, while its running tasks must still be accounted for.
-BOOST_AUTO_TEST_CASE(leavingUpstreamsTakeNoWork)
+// Guards against new work on an upstream that is leaving, is no longer available, or was removed
+// from the manifest. Its running tasks must still be accounted for.
+BOOST_AUTO_TEST_CASE(leavingUpstreamsGetNoWork)
 {
     for (const int variant : {0, 1, 2}) {
         SchedulerFixture f;
@@ -96,8 +96,8 @@
     }
 }
 
-// Guards against a task sent again to the upstream that refused it, and against one that waits for
-// ever since all refused it.
+// Guards against a task that is sent again to an upstream that refused it, and one that is queued
+// forever because all upstreams refused it.
 BOOST_AUTO_TEST_CASE(excludedUpstreams)
 {
     SchedulerFixture f;
@@ -109,15 +109,15 @@
     f.enqueue("audit", "a", excluded);
     f.enqueue("audit", "a", excluded);
     BOOST_TEST(f.starter.starts.size() == 2);
-    f.enqueue("audit"); // not held up by the one before
+    f.enqueue("audit"); // not blocked by the task before it
     BOOST_TEST(f.starter.starts.size() == 3);
     excluded.emplace_back("u3");
     f.enqueue("audit", "a", excluded);
     BOOST_TEST(f.starter.starts.size() == 4);
 }
 
-// Guards against re-entrance: the starter may report a refusal from within startTask().
-BOOST_AUTO_TEST_CASE(resultsFromWithinStartTask)
+// Guards against errors on re-entry: startTask() may report a refusal before it returns.
+BOOST_AUTO_TEST_CASE(resultReportedWithinStartTask)
 {
     SchedulerFixture f;
     int refusals = 0;
@@ -133,8 +133,8 @@
     BOOST_TEST(f.scheduler.queuedCount() == 0);
 }
 
-// Guards against an upstream that fails at once and therefore attracts all work, against ejection
-// of more than half of the upstreams, and against one that is never tried again.
+// Guards against an upstream that fails immediately and so attracts all work, against ejection of
+// more than half of the upstreams, and against an ejected upstream that is never probed again.
 BOOST_AUTO_TEST_CASE(failingUpstreamsAreEjectedAndProbed)
 {
     struct Row
@@ -180,7 +180,7 @@
     }
 }
 
-// Guards against refusals without reason, and against acceptance of what can't be answered.
+// Guards against unjustified refusals, and against admission of requests that can't be answered.
 BOOST_AUTO_TEST_CASE(admission)
 {
     struct Row
@@ -203,33 +203,33 @@
         {"audit", "a", 30, 1000ms, 0, FailureCode::None},
         {"audit", "a", 30, 1000ms, 80, FailureCode::Overloaded},
         {"audit", "a", 30, 5000ms, 80, FailureCode::None},
-        {"audit", "b", 10, 1000ms, 80, FailureCode::None}, // its share of 3/4 suffices
-        {"probe", "a", 1, 1000ms, 80, FailureCode::None},  // before the job's tasks
+        {"audit", "b", 10, 1000ms, 80, FailureCode::None}, // the team's share of 3/4 suffices
+        {"probe", "a", 1, 1000ms, 80, FailureCode::None},  // starts before the job's tasks
     };
     for (const Row &row : rows) {
         SchedulerFixture f;
-        for (int i = 0; i < 80; ++i) { // learns 100 ms
+        for (int i = 0; i < 80; ++i) { // sets the estimates to 100 ms
             const TaskHandle task = f.enqueue("probe");
             f.scheduler.taskFinished(task, TaskResult::Succeeded, 100ms);
             f.scheduler.taskFinished(f.enqueue("audit"), TaskResult::Succeeded, 100ms);
         }
         for (int i = 0; i < row.queued + (row.queued > 0 ? 8 : 0); ++i)
             f.enqueue("audit");
-        const Admission verdict = f.admit(row.kind, row.tasks, row.deadline, row.team);
+        const Admission decision = f.admit(row.kind, row.tasks, row.deadline, row.team);
         BOOST_TEST_CONTEXT(row.kind << " " << row.tasks << " queued " << row.queued)
         {
-            BOOST_TEST(Base::failureName(Base::failureCode(verdict.status))
+            BOOST_TEST(Base::failureName(Base::failureCode(decision.status))
                        == Base::failureName(row.expected));
-            BOOST_TEST((verdict.retryAfter > 0ms)
+            BOOST_TEST((decision.retryAfter > 0ms)
                        == (row.expected == FailureCode::Overloaded
                            || row.expected == FailureCode::QuotaExceeded));
         }
     }
 }
 
-// Guards against a declared run time that is too long by 10 and refuses everything for ever, since
-// nothing would be learned.
-BOOST_AUTO_TEST_CASE(wrongDeclaredRunTimeIsUnlearned)
+// Guards against a declared run time that is too long by a factor of 10 and has all requests
+// refused forever, since without results it is never corrected.
+BOOST_AUTO_TEST_CASE(wrongDeclaredRunTimeIsCorrected)
 {
     SchedulerFixture f;
     f.manifest.kinds[Base::KindId("probe")].declaredRunTime = 5000ms;
@@ -241,11 +241,11 @@
         f.scheduler.taskFinished(f.enqueue("slow"), TaskResult::Succeeded, 500ms);
     BOOST_TEST(f.admit("slow", 1).status.ok());
     BOOST_TEST(!f.admit("slow", 1, 300ms).status.ok());
-    f.timers.advance(60s); // an old estimate must not refuse for ever either
+    f.timers.advance(60s); // an old estimate must not refuse forever either
     BOOST_TEST(f.admit("slow", 1, 300ms).status.ok());
 }
 
-// Guards against a scheduler that does not learn which upstreams are fast.
+// Guards against a scheduler that does not detect which upstreams are fast.
 BOOST_AUTO_TEST_CASE(prefersFastUpstreams)
 {
     SchedulerFixture f;
@@ -253,7 +253,7 @@
         for (int k = 0; k < 8; ++k)
             f.enqueue("probe");
         f.timers.advance(20ms);
-        // Tasks may wait for u2, so that results start further tasks.
+        // Tasks may wait for u2; the results of others then start them.
         while (!f.starter.starts.empty()) {
             for (const auto &it : std::exchange(f.starter.starts, {}))
                 f.scheduler.taskFinished(it.task, TaskResult::Succeeded,
--- a/tests/auto/scheduling/tst_schedulingparts.cpp
+++ b/tests/auto/scheduling/tst_schedulingparts.cpp
@@ -1,4 +1,4 @@
-// Tests of the parts of the scheduler.
+// Tests of FairQueue, RetryBudget, SpeedEstimate and RunTimeEstimate.
 #include "schedulerfixture.h"
 
 #include <scheduling/retrybudget.h>
@@ -33,7 +33,7 @@
                == TaskHandle(1));
     BOOST_TEST(queue.start(TaskHandle(2), 10ms));
     BOOST_TEST(queue.push(queuedTask(4, 1, 0, 9s)));
-    // Team 0 has been served, team 1 has not; the earlier deadline does not count between teams.
+    // Team 0 was served, team 1 was not. Deadlines are not compared between teams.
     BOOST_TEST(queue.next(TaskClass::Job, anyGroup)->handle == TaskHandle(4));
     BOOST_TEST(queue.withdraw(TaskHandle(4)));
     BOOST_TEST(!queue.withdraw(TaskHandle(4)));
@@ -43,7 +43,7 @@
     BOOST_TEST(!queue.push(queuedTask(8, 0))); // full
 }
 
-// Guards against unfair shares, and against a team that gains credit while it is idle.
+// Guards against unfair shares, and against a team that earns credit while it is idle.
 BOOST_AUTO_TEST_CASE(fairQueueShares)
 {
     FairQueue queue(10000);
@@ -112,7 +112,7 @@
     }
 }
 
-// Guards against retries that multiply the load of a failing system, and against none at all.
+// Guards against retries that multiply the load of a failing system, and against no retries at all.
 BOOST_AUTO_TEST_CASE(retryBudgetIsAFractionOfSuccesses)
 {
     RetryBudget budget(0.1, 1, 5);
@@ -133,7 +133,8 @@
     BOOST_TEST(retries() == 5);
 }
 
-// Guards against a speed that one stalled task changes, or that follows a lasting change too late.
+// Guards against a speed estimate that one stalled task distorts, or that follows a lasting change
+// too slowly.
 BOOST_AUTO_TEST_CASE(speedFollowsResults)
 {
     SpeedEstimate speed;
@@ -148,7 +149,8 @@
     BOOST_TEST(speed.speed() == 0.25, boost::test_tools::tolerance(0.2));
 }
 
-// Guards against a declared run time, wrong by 10 either way, that outlives the first results.
+// Guards against a declared run time, wrong by a factor of 10 either way, that still affects the
+// estimate after the first results.
 BOOST_AUTO_TEST_CASE(runTimeFollowsResults)
 {
     for (const Base::Duration declared : {10ms, 100ms, 1000ms}) {
--- a/tests/auto/scheduling/tst_slotshares.cpp
+++ b/tests/auto/scheduling/tst_slotshares.cpp
@@ -1,4 +1,4 @@
-// Tests of the slot partition and of loans.
+// Tests of the assignment of slots to daemons and of loans.
 #include "schedulerfixture.h"
 
 #include <scheduling/slotshares.h>
@@ -25,7 +25,7 @@
     return "d" + std::to_string(index);
 }
 
-/// Daemons that start tasks at random on what they take for usable slots.
+/// Daemons that start tasks at random times in the slots that they consider usable.
 class Domain
 {
 public:
@@ -33,7 +33,7 @@
         : m_random(seed)
     {
         for (int i = 0; i < DAEMONS; ++i)
-            m_alive.insert(Base::DaemonId(daemonName(i)));
+            m_liveDaemons.insert(Base::DaemonId(daemonName(i)));
         for (int i = 0; i < DAEMONS; ++i)
             restart(i);
     }
@@ -62,7 +62,7 @@
 
     void restart(int index)
     {
-        // Tasks of the former incarnation go on at the workers; they stay in m_used.
+        // Tasks of the previous incarnation keep running at the workers and stay in m_used.
         m_daemons[index] = std::make_unique<Daemon>();
         Daemon &daemon = *m_daemons[index];
         daemon.domain = this;
@@ -79,15 +79,15 @@
         for (int i = 0; i < UPSTREAMS; ++i)
             slots[Base::UpstreamId("u" + std::to_string(i))] = SLOTS;
         daemon.shares->setUpstreams(slots);
-        daemon.shares->setLiveDaemons(m_alive);
+        daemon.shares->setLiveDaemons(m_liveDaemons);
     }
 
     bool send(int from, int to, const Wire::SlotLoan &message)
     {
-        const auto fate = m_random() % 10;
-        if (fate == 0 || m_cut.contains({std::min(from, to), std::max(from, to)}))
-            return fate % 2 == 0; // lost, or refused by the port
-        const Base::Duration delay = std::chrono::milliseconds(fate == 1 ? m_random() % 900 : 1);
+        const auto outcome = m_random() % 10;
+        if (outcome == 0 || m_cutLinks.contains({std::min(from, to), std::max(from, to)}))
+            return outcome % 2 == 0; // lost, or refused by the port
+        const Base::Duration delay = std::chrono::milliseconds(outcome == 1 ? m_random() % 900 : 1);
         timers.schedule(delay, [this, from, to, message] {
             if (m_daemons[to])
                 m_daemons[to]->shares->loanReceived(Base::DaemonId(daemonName(from)), message);
@@ -123,17 +123,17 @@
         if (m_daemons[index]) {
             m_retired.push_back(std::move(m_daemons[index]));
             m_retired.back()->shares.reset();
-            m_alive.erase(id);
+            m_liveDaemons.erase(id);
         } else {
-            m_alive.insert(id);
+            m_liveDaemons.insert(id);
             restart(index);
         }
-        // The others learn of it at different times.
+        // The daemons learn of the change at different times.
         for (int i = 0; i < DAEMONS; ++i) {
             const auto lag = std::chrono::milliseconds(m_random() % (MEMBERSHIP_LAG / 1ms));
             timers.schedule(lag, [this, i] {
                 if (m_daemons[i])
-                    m_daemons[i]->shares->setLiveDaemons(m_alive);
+                    m_daemons[i]->shares->setLiveDaemons(m_liveDaemons);
             });
         }
     }
@@ -159,8 +159,8 @@
         if (m_random() % 100 == 0) {
             const int a = static_cast<int>(m_random() % DAEMONS);
             const int b = static_cast<int>(m_random() % DAEMONS);
-            if (!m_cut.erase({std::min(a, b), std::max(a, b)}))
-                m_cut.insert({std::min(a, b), std::max(a, b)});
+            if (!m_cutLinks.erase({std::min(a, b), std::max(a, b)}))
+                m_cutLinks.insert({std::min(a, b), std::max(a, b)});
         }
         timers.advance(5ms);
     }
@@ -173,17 +173,18 @@
 private:
     std::mt19937_64 m_random;
     Base::Incarnation m_incarnation;
-    std::set<Base::DaemonId> m_alive;
-    std::set<std::pair<int, int>> m_cut;
-    std::map<Base::UpstreamId, std::uint32_t> m_used; // what the workers run
+    std::set<Base::DaemonId> m_liveDaemons;
+    std::set<std::pair<int, int>> m_cutLinks;
+    std::map<Base::UpstreamId, std::uint32_t> m_used; // tasks running at the workers
     std::unique_ptr<Daemon> m_daemons[DAEMONS];
     std::vector<std::unique_ptr<Daemon>> m_retired; // keeps incarnation addresses distinct
 };
 
 } // namespace
 
-// Guards against a partition that changes more than it must, or that leaves a daemon without slots.
-BOOST_AUTO_TEST_CASE(rendezvousMovesOnlyWhatItMust)
+// Guards against an assignment that moves slots of unaffected daemons when one is removed, or that
+// leaves a daemon without slots.
+BOOST_AUTO_TEST_CASE(removedDaemonMovesOnlyItsSlots)
 {
     std::set<Base::DaemonId> all;
     for (int i = 0; i < 4; ++i)
@@ -203,9 +204,9 @@
     BOOST_TEST(slotOwner(Base::UpstreamId("u"), 0, {}).isEmpty());
 }
 
-// Guards against two daemons that use one slot at once, under restarts, deaths, lists of live
-// daemons that differ, cut links, and loan messages that are lost or late.
-BOOST_AUTO_TEST_CASE(noSlotHasTwoUsers)
+// Guards against two daemons that use the same slot at once, under restarts, crashes, differing
+// lists of live daemons, cut links, and lost or late loan messages.
+BOOST_AUTO_TEST_CASE(slotIsNeverUsedTwice)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         Domain domain(seed);
