--- a/src/libs/scheduling/admissioncontrol.cpp
+++ b/src/libs/scheduling/admissioncontrol.cpp
@@ -10,7 +10,7 @@
 /// Factor on the estimated queueing time. Without it most answers would be late, because work that
 /// is admitted but not yet queued is not counted, and because estimates can be too low.
 static constexpr double WAIT_SAFETY_FACTOR = 1.25;
-/// Lower bound of the fraction of the capacity that single requests leave to jobs.
+/// Assumed lower bound of the fraction of the capacity that single requests leave to jobs.
 static constexpr double MIN_JOB_CAPACITY = 0.05;
 /// Lower bound of the fraction of the capacity that the load leaves free. The load is an average
 /// in which a short burst looks like lasting load.
@@ -19,7 +19,7 @@
 static constexpr std::chrono::milliseconds SLOT_RETURN_MS{3000};
 static constexpr std::chrono::milliseconds MIN_RETRY_AFTER_MS{100};
 static constexpr std::chrono::milliseconds MAX_RETRY_AFTER_MS{30'000};
-static constexpr std::chrono::milliseconds NO_UPSTREAM_RETRY_AFTER_MS{1000};
+static constexpr std::chrono::milliseconds DEFAULT_RETRY_AFTER_MS{1000};
 
 static Base::Duration fromMs(double ms)
 {
@@ -60,11 +60,11 @@
     }
     if (state.listedUpstreams == 0) {
         return refuse(FailureCode::Overloaded, "no upstream for the kind is available",
-                      NO_UPSTREAM_RETRY_AFTER_MS);
+                      DEFAULT_RETRY_AFTER_MS);
     }
     if (state.teamMaxQueued > 0 && state.teamQueued + request.taskCount > state.teamMaxQueued) {
         return refuse(FailureCode::QuotaExceeded, "the team's queued tasks would exceed its quota",
-                      NO_UPSTREAM_RETRY_AFTER_MS);
+                      DEFAULT_RETRY_AFTER_MS);
     }
     const Base::Duration left = request.deadline - now;
     const Base::Duration run =
@@ -76,7 +76,7 @@
     if (state.capacity <= 0) {
         if (run + SLOT_RETURN_MS > left || state.queued + request.taskCount > state.maxQueued) {
             return refuse(FailureCode::Overloaded, "this daemon has no slots for the kind",
-                          NO_UPSTREAM_RETRY_AFTER_MS);
+                          DEFAULT_RETRY_AFTER_MS);
         }
         return {absl::OkStatus(), {}, run};
     }
--- a/src/libs/scheduling/fairqueue.h
+++ b/src/libs/scheduling/fairqueue.h
@@ -27,8 +27,8 @@
 /// Bounded queue. Within a class, teams are served by start-time fair queueing: each team has a
 /// virtual time that advances by cost / weight when one of its tasks starts, and the team with the
 /// lowest virtual time is next. Within a team, the earliest deadline is next. Tasks are indexed by
-/// (class, task group, team), so that a group without a free slot is skipped as a whole. Operations
-/// cost O(log n) in queued tasks and teams, times the number of groups.
+/// (class, task group, team), so that a group that cannot start now is skipped as a whole.
+/// Operations cost O(log n) in queued tasks and teams, times the number of groups.
 class FairQueue
 {
 public:
--- a/src/libs/scheduling/fastestfreepolicy.cpp
+++ b/src/libs/scheduling/fastestfreepolicy.cpp
@@ -16,8 +16,7 @@
 constexpr int MAX_RACK_CANDIDATES = 8;
 /// An upstream on which no task started for this long gets one, since its speed may have changed.
 constexpr std::chrono::seconds SPEED_REFRESH_S{10};
-/// Fraction of the tasks that may be used to refresh speed estimates; low enough to leave the p99
-/// latency unaffected.
+/// Maximum fraction of the tasks that refresh speed estimates, so that p99 is not affected.
 constexpr double REFRESH_FRACTION = 0.002;
 
 class FastestFreePolicy : public PlacementPolicy
--- a/src/libs/scheduling/slotshares.cpp
+++ b/src/libs/scheduling/slotshares.cpp
@@ -8,7 +8,7 @@
 namespace Scheduling {
 
 /// Bits for the requests of one incarnation. The incarnation forms the higher bits, so that
-/// sequence numbers of different incarnations never coincide.
+/// sequence numbers of different incarnations do not coincide.
 static constexpr int SEQUENCE_BITS = 24;
 
 Base::DaemonId slotOwner(const Base::UpstreamId &upstream, std::uint32_t slot,
--- a/src/libs/scheduling/upstreamhealth.cpp
+++ b/src/libs/scheduling/upstreamhealth.cpp
@@ -37,7 +37,7 @@
 
 void UpstreamHealth::eject(Base::TimePoint now)
 {
-    // If an upstream fails again soon after it was reinstated, the back-off continues.
+    // If an upstream fails again soon after it was reinstated, its probe interval keeps growing.
     const bool relapsed = m_probeInterval.count() > 0 && now - m_reinstated < m_probeInterval * 4;
     if (m_ejected || relapsed) {
         m_probeInterval = std::min<Base::Duration>(m_probeInterval * 2, MAX_PROBE_INTERVAL_S);
--- a/src/libs/scheduling/upstreampool.cpp
+++ b/src/libs/scheduling/upstreampool.cpp
@@ -237,7 +237,7 @@
         rebuild();
         return;
     } else if (failed && now >= state.health.nextProbe()) {
-        state.health.eject(now); // failed probe; earlier failures are of older tasks
+        state.health.eject(now); // failed probe; earlier failures: tasks from before the ejection
     }
     updateFreeIndex(upstream);
 }
