--- a/src/libs/jobs/coordinator.cpp
+++ b/src/libs/jobs/coordinator.cpp
@@ -1,5 +1,5 @@
-// Requests: submission, waiting, outcomes. The running of tasks is in coordinatortasks.cpp, what
-// follows from changes of ownership in coordinatorshards.cpp.
+// Submission, waiting and outcomes of requests. Task execution is in coordinatortasks.cpp, the
+// handling of ownership changes in coordinatorshards.cpp.
 #include "coordinator.h"
 
 #include "jobsconstants.h"
@@ -29,7 +29,7 @@
                    [this](Base::ShardIndex shard) { return incompleteTime(shard); })
     , m_runner(m_context.timers, m_context.workers)
     , m_retryBudget(Constants::RETRIES_PER_SUCCESS, Constants::MIN_RETRIES_PER_SECOND,
-                    Constants::MAX_SAVED_RETRIES)
+                    Constants::MAX_RETRY_BALANCE)
 {
     m_sweepTimer = m_context.timers.schedule(Constants::RETENTION_SWEEP_MS, [this] { sweep(); });
 }
@@ -39,7 +39,7 @@
     const auto it = m_incompleteUntil.find(shard);
     if (it == m_incompleteUntil.end())
         return Base::Duration(0);
-    // Rounded up to a millisecond, so that a replica never sees the shard as complete too early.
+    // Rounded up to a millisecond, so that a replica never considers the shard complete too early.
     return std::max(Base::Duration(0), it->second - m_context.timers.now())
            + std::chrono::milliseconds(1);
 }
@@ -120,7 +120,7 @@
     if (m_activeCount >= m_limits.maxConcurrentRequests)
         return refuse(FailureCode::Overloaded, "too many requests in progress");
     if (m_store.bytes() >= m_limits.maxRecordBytes)
-        return refuse(FailureCode::Overloaded, "the memory for requests is full");
+        return refuse(FailureCode::Overloaded, "the memory limit for request records is reached");
     const Manifest::Team &team = m_manifest->teams.at(submission.id.team);
     const auto active = m_activeByTeam.find(submission.id.team);
     if (team.maxConcurrentJobs > 0 && active != m_activeByTeam.end()
@@ -150,11 +150,12 @@
 void Coordinator::submit(const Submission &submission, Base::Duration wait, ReplyHandler handler)
 {
     JobRecord *known = m_store.find(submission.id);
-    if (known && known->isHeldHere()) {
+    if (known && known->isAuthoritative()) {
         if (known->digest != submission.digest) {
-            replyLater(
-                std::move(handler),
-                {makeFailure(FailureCode::KeyConflict, "the key is in use with another body"), {}});
+            replyLater(std::move(handler),
+                       {makeFailure(FailureCode::KeyConflict,
+                                    "the key is already in use with another body"),
+                        {}});
             return;
         }
         addWaiter(*known, wait, std::move(handler));
@@ -187,7 +188,7 @@
     if (!admission.status.ok()) {
         m_context.observer.requestRefused(submission, Base::failureCode(admission.status));
         Reply reply = refusal(admission);
-        // Another entry daemon may have run a repeatable request under this key.
+        // Another entry daemon may have run this repeatable request already.
         if (record.isLocal() && !submission.isFirst)
             reply.status = admission.status;
         replyLater(std::move(handler), std::move(reply));
@@ -205,7 +206,7 @@
     armDeadline(stored);
     m_context.observer.requestAccepted(stored);
     if (stored.isLocal()) {
-        begin(stored.id, stored.epoch);
+        startRunning(stored.id, stored.epoch);
         return;
     }
     replicateNew(stored);
@@ -214,9 +215,9 @@
 void Coordinator::replicateNew(JobRecord &record)
 {
     const Base::Duration remaining = record.deadline - m_context.timers.now();
-    m_replicator.replicate(record.shard.index, record.epoch,
-                           {encodeRecord(record, remaining, true)},
-                           [this, id = record.id, epoch = record.epoch] { begin(id, epoch); });
+    m_replicator.replicate(
+        record.shard.index, record.epoch, {encodeRecord(record, remaining, true)},
+        [this, id = record.id, epoch = record.epoch] { startRunning(id, epoch); });
 }
 
 void Coordinator::acceptAsFailed(JobRecord record, Base::Duration wait, ReplyHandler handler)
@@ -226,18 +227,19 @@
     stored.isStartUncertain = true;
     addWaiter(stored, wait, std::move(handler));
     decideFailure(stored, FailureCode::KnowledgeLost,
-                  "records of the shard were lost; the key may have run before");
+                  "records of the shard were lost; the request may have run before");
 }
 
-void Coordinator::begin(const Base::RequestId &id, Base::Epoch epoch)
+void Coordinator::startRunning(const Base::RequestId &id, Base::Epoch epoch)
 {
     JobRecord *record = findActive(id, epoch);
-    if (!record || record->phase != RecordPhase::Accepting || m_heldShards.contains(record->shard))
+    if (!record || record->phase != RecordPhase::Accepting
+        || m_pausedShards.contains(record->shard))
         return;
     record->phase = RecordPhase::Running;
     const std::size_t n = record->tasks.size();
     for (std::size_t i = 0; i < n; ++i) {
-        // A start may fail at once and decide the request.
+        // A start may fail immediately and thereby decide the request.
         record = findActive(id, epoch);
         if (!record || record->phase != RecordPhase::Running)
             return;
@@ -249,7 +251,7 @@
 void Coordinator::query(const Base::RequestId &id, Base::Duration wait, ReplyHandler handler)
 {
     JobRecord *record = m_store.find(id);
-    if (record && record->isHeldHere()) {
+    if (record && record->isAuthoritative()) {
         addWaiter(*record, wait, std::move(handler));
         return;
     }
@@ -273,7 +275,7 @@
 void Coordinator::cancel(const Base::RequestId &id, ReplyHandler handler)
 {
     JobRecord *record = m_store.find(id);
-    if (!record || !record->isHeldHere()) {
+    if (!record || !record->isAuthoritative()) {
         query(id, Base::Duration(0), std::move(handler));
         return;
     }
@@ -356,9 +358,10 @@
 void Coordinator::deadlinePassed(const Base::RequestId &id)
 {
     JobRecord *record = m_store.find(id);
-    if (!record || !record->isHeldHere() || !record->isUndecided())
+    if (!record || !record->isAuthoritative() || !record->isUndecided())
         return;
-    decideFailure(*record, FailureCode::DeadlineExceeded, "no complete answer before the deadline");
+    decideFailure(*record, FailureCode::DeadlineExceeded,
+                  "the request did not complete before the deadline");
 }
 
 JobRecord *Coordinator::findActive(const Base::RequestId &id, Base::Epoch epoch)
@@ -381,7 +384,7 @@
     decide(record, std::move(outcome));
 }
 
-void Coordinator::finishIfWhole(JobRecord &record)
+void Coordinator::finishIfComplete(JobRecord &record)
 {
     if (record.finishedCount < record.tasks.size() || record.phase == RecordPhase::Suspended)
         return;
@@ -394,12 +397,12 @@
 
 void Coordinator::decide(JobRecord &record, RequestView outcome)
 {
-    EP_ASSERT(record.isUndecided() && record.isHeldHere(), return);
+    EP_ASSERT(record.isUndecided() && record.isAuthoritative(), return);
     EP_ASSERT(outcome.state != RequestState::NotRun || record.startedCount == 0, return);
     EP_ASSERT(outcome.state != RequestState::Complete
                   || outcome.results.size() == record.payloads.size(),
               return);
-    dropTasks(record);
+    stopTasks(record);
     record.outcome = std::move(outcome);
     record.decidedAt = m_context.timers.now();
     record.phase = RecordPhase::Deciding;
@@ -442,7 +445,8 @@
     m_sweepTimer = m_context.timers.schedule(Constants::RETENTION_SWEEP_MS, [this] { sweep(); });
     const Base::TimePoint now = m_context.timers.now();
     m_store.expire(now);
-    // Older submissions have passed their retention by then, so every unknown key is new again.
+    // By then the lost records would have passed their retention, so every unknown key is new
+    // again.
     std::erase_if(m_incompleteUntil, [now](const auto &it) { return it.second <= now; });
 }
 
--- a/src/libs/jobs/coordinator.h
+++ b/src/libs/jobs/coordinator.h
@@ -1,5 +1,5 @@
-// Takes requests, runs their tasks and decides their outcomes, for the shards that this daemon owns
-// and for the repeatable requests that it received.
+// Accepts requests, runs their tasks and determines their outcomes, for the shards that this daemon
+// owns and for the repeatable requests that it received.
 #pragma once
 
 #include "jobobserver.h"
@@ -25,7 +25,7 @@
 
 namespace Jobs {
 
-/// What the coordinator works with. All references outlive it.
+/// Dependencies of the coordinator. All references outlive it.
 struct CoordinatorContext
 {
     Base::Timers &timers;
@@ -45,8 +45,8 @@
     std::chrono::seconds retention{600};
 };
 
-/// The state machine of requests. Lives on the daemon's loop. A request is accepted, replicated,
-/// run and decided; the outcome is replicated before anybody sees it.
+/// The state machine of requests; runs on the daemon's event loop. A request is accepted,
+/// replicated, run and decided; the outcome is replicated before it becomes visible to callers.
 class Coordinator : public Scheduling::TaskStarter
 {
 public:
@@ -56,23 +56,23 @@
     void setManifest(std::shared_ptr<const Manifest::Manifest> manifest);
 
     /// Replies when the request has an outcome or after \a wait. A resubmission gets the state of
-    /// the first submission. The reply never comes from within the call.
+    /// the first submission. \a handler is never called from within this function.
     void submit(const Submission &submission, Base::Duration wait, ReplyHandler handler);
     /// Replies like submit(); errors: unknownRequest, notOwner.
     void query(const Base::RequestId &id, Base::Duration wait, ReplyHandler handler);
     void cancel(const Base::RequestId &id, ReplyHandler handler);
 
     // Ownership.
-    /// \a completeKnowledge: false if records of earlier owners were lost in this step.
-    void shardAcquired(Base::ShardIndex shard, Base::Epoch epoch, bool completeKnowledge);
+    /// \a recordsComplete: false if records of earlier owners were lost in this ownership change.
+    void shardAcquired(Base::ShardIndex shard, Base::Epoch epoch, bool recordsComplete);
     void shardLost(Base::ShardIndex shard);
     void requiredReplicasChanged(Base::ShardIndex shard);
     /// Copies the shard to \a daemon and lists it as a replica.
     void replicaJoinWanted(Base::ShardIndex shard, const Base::DaemonId &daemon,
                            Base::Incarnation incarnation);
-    /// Starts no more tasks of \a shard; those in flight go on.
-    void holdShard(Base::ShardIndex shard);
-    /// Goes on after holdShard().
+    /// Stops starting tasks of \a shard; tasks in flight continue.
+    void pauseShard(Base::ShardIndex shard);
+    /// Starts tasks again after pauseShard().
     void resumeShard(Base::ShardIndex shard);
 
     // Messages of other daemons.
@@ -98,14 +98,14 @@
     };
 
     Base::ShardId shardOf(const Submission &submission, bool isLocal) const;
-    /// A request whose key may have run before its records were lost is failed, not started.
+    /// Fails a request instead of starting it, as its key may have run before records were lost.
     void acceptAsFailed(JobRecord record, Base::Duration wait, ReplyHandler handler);
     absl::Status checkSubmission(const Submission &submission) const;
-    /// Why a new request can't be accepted now; OK if it can.
+    /// The reason why a new request can't be accepted now; OK if it can.
     Scheduling::Admission admit(const Submission &submission, Base::TimePoint deadline) const;
     JobRecord makeRecord(const Submission &submission) const;
     void accept(JobRecord record, Base::Duration wait, ReplyHandler handler);
-    void begin(const Base::RequestId &id, Base::Epoch epoch);
+    void startRunning(const Base::RequestId &id, Base::Epoch epoch);
 
     void addWaiter(JobRecord &record, Base::Duration wait, ReplyHandler handler);
     void replyLater(ReplyHandler handler, Reply reply);
@@ -123,15 +123,17 @@
     void applyTaskEnd(JobRecord &record, std::size_t index, const TaskEnd &end);
     void taskSucceeded(JobRecord &record, std::size_t index, const std::string &result);
     void taskNotStarted(JobRecord &record, std::size_t index, const TaskEnd &end);
-    /// Tries a repeatable request elsewhere; returns false if it may not be.
+    /// Retries a repeatable request at another upstream; returns false if that is not allowed.
     bool retryRepeatable(JobRecord &record, std::size_t index);
 
-    void finishIfWhole(JobRecord &record);
+    /// Completes the request once all of its tasks have finished.
+    void finishIfComplete(JobRecord &record);
     void decide(JobRecord &record, RequestView outcome);
     void decideFailure(JobRecord &record, Base::FailureCode code, std::string message);
     void outcomeReplicated(const Base::RequestId &id, Base::Epoch epoch);
     void publish(JobRecord &record);
-    void dropTasks(JobRecord &record);
+    /// Withdraws the waiting tasks and requests the stop of the started ones.
+    void stopTasks(JobRecord &record);
     void withdrawWaitingTasks(JobRecord &record);
 
     void startRecovery(Base::ShardIndex shard, Base::Epoch epoch);
@@ -150,7 +152,7 @@
     void dropOlderReplicas(const Base::ShardId &shard, Base::Epoch epoch);
     void sweep();
 
-    /// The record, if it is undecided and run here under \a epoch.
+    /// The record, if this daemon runs it under \a epoch and its outcome is not final; else null.
     JobRecord *findActive(const Base::RequestId &id, Base::Epoch epoch);
     const Manifest::Kind *findKind(const Base::KindId &id) const;
     bool upstreamFences(const Base::UpstreamId &id) const;
@@ -167,7 +169,7 @@
     TaskRunner m_runner;
     Scheduling::RetryBudget m_retryBudget;
     std::unordered_map<Scheduling::TaskHandle, TaskReference>
-        m_handles; // tasks the scheduler knows
+        m_handles; // tasks known to the scheduler
     std::uint64_t m_lastHandle = 0;
     std::uint64_t m_lastSerial = 0; // highest of all records seen
     std::uint64_t m_lastWaiter = 0;
@@ -175,8 +177,8 @@
     std::size_t m_activeLocalCount = 0; // part of m_activeCount
     std::map<Base::TeamId, std::size_t> m_activeByTeam;
     std::map<Base::ShardIndex, std::unique_ptr<ShardRecovery>> m_recoveries;
-    std::set<Base::ShardId> m_heldShards;
-    // Shards with lost records: until then an unknown key may be an old one.
+    std::set<Base::ShardId> m_pausedShards;
+    // Shards with lost records: until this time an unknown key may have been used before.
     std::map<Base::ShardIndex, Base::TimePoint> m_incompleteUntil;
     Base::TimerId m_sweepTimer;
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
--- a/src/libs/jobs/coordinatorshards.cpp
+++ b/src/libs/jobs/coordinatorshards.cpp
@@ -1,4 +1,4 @@
-// What follows from changes of ownership: recovery after a takeover, replicas, hand-over.
+// Handling of ownership changes: recovery after a takeover, replicas, hand-over.
 #include "coordinator.h"
 
 #include "jobsconstants.h"
@@ -27,9 +27,9 @@
     return upstreams;
 }
 
-void Coordinator::shardAcquired(Base::ShardIndex shard, Base::Epoch epoch, bool completeKnowledge)
+void Coordinator::shardAcquired(Base::ShardIndex shard, Base::Epoch epoch, bool recordsComplete)
 {
-    if (!completeKnowledge)
+    if (!recordsComplete)
         m_incompleteUntil[shard] = m_context.timers.now() + m_limits.retention;
     bool needsRecovery = false;
     for (const Base::RequestId &id : m_store.idsOfShard({m_context.domain, shard})) {
@@ -38,7 +38,7 @@
             record.epoch = epoch;
             continue;
         }
-        EP_ASSERT(!record.isHeldHere(), continue);
+        EP_ASSERT(!record.isAuthoritative(), continue);
         if (record.phase == RecordPhase::Suspended && record.epoch == epoch)
             resumeSuspended(record);
         else
@@ -51,8 +51,8 @@
 
 void Coordinator::resumeSuspended(JobRecord &record)
 {
-    // Nobody else owned the shard, so what is known of the tasks still holds. Fencing would not
-    // help here: orders of the same epoch may still be on their way.
+    // No other daemon owned the shard meanwhile, so the task states are still valid. Fencing would
+    // not help here: start orders of the same epoch may still be in flight.
     record.expiresAt.reset();
     activate(record, record.suspendedPhase);
     if (record.outcome) {
@@ -60,14 +60,15 @@
         return;
     }
     if (record.suspendedFailure != FailureCode::None) {
-        decideFailure(record, record.suspendedFailure, "a task failed while the lease was lapsed");
+        decideFailure(record, record.suspendedFailure,
+                      "a task failed while the shard's lease had lapsed");
         return;
     }
     armDeadline(record);
     if (record.phase == RecordPhase::Recovering)
         return;
     if (record.finishedCount == record.tasks.size()) {
-        finishIfWhole(record);
+        finishIfComplete(record);
         return;
     }
     record.phase = RecordPhase::Accepting;
@@ -79,7 +80,7 @@
     record.epoch = epoch;
     record.expiresAt.reset();
     if (record.outcome) {
-        // The former owner may have been unable to replicate it everywhere.
+        // The former owner may not have replicated the outcome to all replicas.
         activate(record, RecordPhase::Deciding);
         replicateOutcome(record);
         return;
@@ -147,7 +148,7 @@
     if (task.phase != TaskPhase::Waiting) {
         Base::log(Base::LogLevel::Error, "taskReportedTwice",
                   {{"task", report.task}, {"upstream", upstream}, {"other", task.upstream}});
-        decideFailure(*record, FailureCode::Internal, "two upstreams report the same task");
+        decideFailure(*record, FailureCode::Internal, "two upstreams reported the same task");
         return;
     }
     task.phase = TaskPhase::Started;
@@ -209,20 +210,22 @@
     const bool hasWaiting = record.startedCount < record.tasks.size();
     if (hasWaiting && isUncertain) {
         decideFailure(record, FailureCode::WorkerLost,
-                      "after a takeover, a worker that may have started a task did not answer");
+                      "after a takeover, a worker that may have started a task did not answer or "
+                      "can't fence");
         return;
     }
-    // Every worker has answered and refuses older orders, so what none reports has not started.
+    // Every worker that may have started a waiting task has answered and refuses orders of older
+    // epochs, so a task that none has reported has not started.
     record.isStartUncertain = false;
     // After a hand-over the list of replicas is unchanged, and the former owner may not have
-    // reached all of them with this record.
+    // replicated this record to all of them.
     record.phase = RecordPhase::Accepting;
     replicateNew(record);
 }
 
-void Coordinator::holdShard(Base::ShardIndex shard)
+void Coordinator::pauseShard(Base::ShardIndex shard)
 {
-    m_heldShards.insert({m_context.domain, shard});
+    m_pausedShards.insert({m_context.domain, shard});
     for (const Base::RequestId &id : m_store.idsOfShard({m_context.domain, shard})) {
         JobRecord &record = *m_store.find(id);
         if (record.phase != RecordPhase::Running && record.phase != RecordPhase::Accepting)
@@ -234,10 +237,10 @@
 
 void Coordinator::resumeShard(Base::ShardIndex shard)
 {
-    if (m_heldShards.erase({m_context.domain, shard}) == 0)
+    if (m_pausedShards.erase({m_context.domain, shard}) == 0)
         return;
     for (const Base::RequestId &id : m_store.idsOfShard({m_context.domain, shard})) {
-        // Records that were accepted during the hold may not be replicated yet.
+        // Records that were accepted while the shard was paused may not be replicated yet.
         JobRecord &record = *m_store.find(id);
         if (record.phase == RecordPhase::Accepting)
             replicateNew(record);
@@ -246,13 +249,13 @@
 
 void Coordinator::shardLost(Base::ShardIndex shard)
 {
-    m_heldShards.erase({m_context.domain, shard});
+    m_pausedShards.erase({m_context.domain, shard});
     m_recoveries.erase(shard);
     m_replicator.shardLost(shard);
     const Reply reply{makeFailure(FailureCode::NotOwner, "the shard has another owner"), {}};
     for (const Base::RequestId &id : m_store.idsOfShard({m_context.domain, shard})) {
         JobRecord &record = *m_store.find(id);
-        if (!record.isHeldHere() || record.phase == RecordPhase::Decided)
+        if (!record.isAuthoritative() || record.phase == RecordPhase::Decided)
             continue;
         withdrawWaitingTasks(record);
         deactivate(record);
@@ -341,18 +344,18 @@
     JobRecord *known = m_store.find(record.id);
     if (known && known->isLocal())
         return;
-    EP_ASSERT(!known || !known->isHeldHere() || known->phase == RecordPhase::Decided, return);
-    // The owner may have forgotten an outcome, and accepted its key again, before it expires here.
+    EP_ASSERT(!known || !known->isAuthoritative() || known->phase == RecordPhase::Decided, return);
+    // The owner may have expired an outcome, and accepted its key again, before it expires here.
     const bool isNewer =
         known && std::pair(record.epoch, record.serial) > std::pair(known->epoch, known->serial)
         && record.serial != known->serial;
     if (known && known->phase == RecordPhase::Decided && !isNewer) {
-        // Published outcomes are final; the new owner has the same one.
+        // Published outcomes are final; the new owner holds the same one.
         known->epoch = std::max(known->epoch, record.epoch);
         return;
     }
     if (known && known->epoch == record.epoch && !isNewer) {
-        // A resent record must not undo the outcome, or the later use of the key, that followed it.
+        // A resent record must not overwrite the outcome or a later use of the key.
         if (known->outcome || record.serial < known->serial)
             return;
         if (record.outcome && record.payloads.empty()) {
@@ -365,7 +368,8 @@
         }
     }
     JobRecord &stored = m_store.put(std::move(record));
-    // Without news from an owner, an undecided replica is kept for retention after its deadline.
+    // Unless an owner updates it, an undecided replica is kept for the retention time after its
+    // deadline.
     m_store.setExpiry(stored,
                       (stored.outcome ? stored.decidedAt : stored.deadline) + m_limits.retention);
 }
@@ -374,7 +378,7 @@
 {
     for (const Base::RequestId &id : m_store.idsOfShard(shard)) {
         const JobRecord &record = *m_store.find(id);
-        if (!record.isHeldHere() && record.epoch < epoch)
+        if (!record.isAuthoritative() && record.epoch < epoch)
             m_store.erase(id);
     }
 }
--- a/src/libs/jobs/coordinatortasks.cpp
+++ b/src/libs/jobs/coordinatortasks.cpp
@@ -1,4 +1,4 @@
-// Running of tasks: queueing, starting, results, stops.
+// Task execution: queueing, starting, results, stops.
 #include "coordinator.h"
 
 #include "jobsconstants.h"
@@ -25,7 +25,7 @@
 {
     TaskEntry &task = record.tasks[index];
     EP_ASSERT(task.phase == TaskPhase::Waiting, return);
-    // A delayed requeue may come after the record was resumed, which queues all waiting tasks.
+    // A delayed requeue may run after the record was resumed, which queued all waiting tasks.
     if (m_handles.contains(task.handle))
         return;
     const TaskHandle handle(++m_lastHandle);
@@ -60,7 +60,7 @@
         const TaskReference task = reference->second;
         m_handles.erase(reference);
         requeueLater(task.request, task.index, task.epoch, delay);
-        // The scheduler is still in the middle of starting it.
+        // Deferred, since the scheduler is still in the call that starts the task.
         m_context.timers.schedule(Base::Duration(0), [this, handle] {
             m_context.scheduler.taskFinished(handle, TaskResult::Refused, Base::Duration(0));
         });
@@ -70,8 +70,8 @@
         refuse(Constants::LEASE_RETRY_MS);
         return;
     }
-    // The last check before the order leaves: the process may have been paused since any earlier
-    // one.
+    // The last check before the order is sent: the process may have been paused since any earlier
+    // check.
     if (!record->isLocal()
         && m_context.authority.leasedEpoch(record->shard.index) != record->epoch) {
         refuse(Constants::LEASE_RETRY_MS);
@@ -138,7 +138,7 @@
                                      m_context.timers.now() - task.startedAt);
 }
 
-/// None for an end after which the request can go on.
+/// None if the request can continue after a task end of this kind.
 static FailureCode failureOf(TaskEndKind kind)
 {
     switch (kind) {
@@ -156,7 +156,7 @@
 {
     EP_ASSERT(record.tasks[index].phase == TaskPhase::Started, return);
     if (record.phase == RecordPhase::Suspended && failureOf(end.kind) != FailureCode::None) {
-        // Without the lease the failure can't be decided yet.
+        // The failure can only be decided when the lease is held again.
         record.suspendedFailure = failureOf(end.kind);
         return;
     }
@@ -184,7 +184,7 @@
     case TaskEndKind::Lost:
         m_context.observer.taskEnded(record, index, FailureCode::WorkerLost);
         if (!retryRepeatable(record, index))
-            decideFailure(record, FailureCode::WorkerLost, "the fate of a task is unknown");
+            decideFailure(record, FailureCode::WorkerLost, "the outcome of a task is unknown");
         return;
     }
 }
@@ -197,7 +197,7 @@
     ++record.finishedCount;
     if (record.isRepeatable)
         m_retryBudget.taskSucceeded();
-    finishIfWhole(record);
+    finishIfComplete(record);
 }
 
 void Coordinator::taskNotStarted(JobRecord &record, std::size_t index, const TaskEnd &end)
@@ -223,7 +223,7 @@
     TaskEntry &task = record.tasks[index];
     task.phase = TaskPhase::Waiting;
     --record.startedCount;
-    // It may have run, which a later "not run" must not deny.
+    // The task may have run, so a later failure must not be reported as notRun.
     record.isStartUncertain = true;
     task.excluded.push_back(task.upstream);
     requeueLater(record.id, index, record.epoch, Base::Duration(0));
@@ -239,7 +239,7 @@
     }
 }
 
-void Coordinator::dropTasks(JobRecord &record)
+void Coordinator::stopTasks(JobRecord &record)
 {
     withdrawWaitingTasks(record);
     for (std::size_t i = 0; i < record.tasks.size(); ++i) {
--- a/src/libs/jobs/jobobserver.h
+++ b/src/libs/jobs/jobobserver.h
@@ -1,4 +1,4 @@
-// Receives what happens to requests, for the event log and the metrics.
+// Receives events of requests and tasks, for the event log and the metrics.
 #pragma once
 
 #include "jobrecord.h"
--- a/src/libs/jobs/jobrecord.cpp
+++ b/src/libs/jobs/jobrecord.cpp
@@ -1,11 +1,11 @@
-// msgpack form of records.
+// msgpack encoding of records.
 #include "jobrecord.h"
 
 #include <msgpack.hpp>
 
 namespace Jobs {
 
-/// Members in wire order; append only.
+/// Members in wire order; new members may only be appended.
 struct EncodedRecord
 {
     std::string team;
--- a/src/libs/jobs/jobrecord.h
+++ b/src/libs/jobs/jobrecord.h
@@ -15,9 +15,9 @@
 namespace Jobs {
 
 enum class TaskPhase {
-    Waiting,  ///< Certainly not started.
+    Waiting,  ///< Known not to have started.
     Started,  ///< Sent to an upstream; it may have started.
-    Finished, ///< The result is held.
+    Finished, ///< The result is stored.
 };
 
 struct TaskEntry
@@ -27,17 +27,17 @@
     Scheduling::TaskHandle handle;          // valid while the scheduler knows the task
     Base::TimePoint startedAt;              // valid at the daemon that started it
     std::string result;                     // valid when finished
-    int refusals = 0;                       // starts that certainly did not happen
-    std::vector<Base::UpstreamId> excluded; // upstreams that must not be given the task again
+    int refusals = 0;                       // start attempts known not to have started it
+    std::vector<Base::UpstreamId> excluded; // upstreams that must not receive the task again
 };
 
 enum class RecordPhase {
     Replica,    ///< Held for another daemon.
-    Suspended,  ///< The lease lapsed; nobody else is known to own the shard yet.
-    Accepting,  ///< Being replicated; no task may start.
+    Suspended,  ///< The lease lapsed; no other owner of the shard is known yet.
+    Accepting,  ///< The request is being replicated; no task may start.
     Running,    ///< Tasks may start.
     Recovering, ///< After a takeover; workers are being asked what they have started.
-    Deciding,   ///< The outcome is chosen and being replicated; nobody has seen it.
+    Deciding,   ///< The outcome is determined and being replicated; it is not visible yet.
     Decided,    ///< The outcome is final and visible.
 };
 
@@ -53,7 +53,7 @@
     Base::RequestId id;
     Base::ShardId shard; // domain is empty for a request that runs at its entry daemon
     Base::Epoch epoch;   // of the owner that holds or sent the record
-    /// Grows with each accepted request, also over owners: tells uses of one key apart.
+    /// Increases with each accepted request, also across owners: distinguishes uses of one key.
     std::uint64_t serial = 0;
     Base::KindId kind;
     bool isSingle = false;
@@ -63,7 +63,7 @@
     Base::TimePoint deadline;
     RecordPhase phase = RecordPhase::Replica;
     RecordPhase suspendedPhase = RecordPhase::Replica;            // valid while suspended
-    Base::FailureCode suspendedFailure = Base::FailureCode::None; // to be decided after resuming
+    Base::FailureCode suspendedFailure = Base::FailureCode::None; // decided after resuming
     std::optional<RequestView> outcome;        // set from Deciding on, and at replicas once known
     std::optional<Base::TimePoint> acceptedAt; // set only at the daemon that accepted it
     Base::TimePoint decidedAt;                 // valid with an outcome
@@ -72,22 +72,22 @@
     std::vector<TaskEntry> tasks;  // same size as payloads while running
     std::size_t startedCount = 0;  // tasks in phase Started or Finished
     std::size_t finishedCount = 0; // tasks in phase Finished
-    bool isStartUncertain = false; // an earlier owner may have started tasks that we don't know
+    bool isStartUncertain = false; // tasks may have started that startedCount does not include
     int attempts = 0;              // of a repeatable request
     Base::TimerId deadlineTimer;
     std::vector<Waiter> waiters;
-    std::size_t bytes = 0; // as accounted by the store
+    std::size_t bytes = 0; // size as accounted by the store
 
     bool isLocal() const { return shard.domain.isEmpty(); }
     bool isUndecided() const { return !outcome.has_value(); }
-    /// Whether this daemon speaks for the record.
-    bool isHeldHere() const
+    /// Whether this daemon, as owner or entry daemon, holds the current state of the request.
+    bool isAuthoritative() const
     {
         return phase != RecordPhase::Replica && phase != RecordPhase::Suspended;
     }
 };
 
-/// The replicated form of a record: msgpack. \a remaining is the time to the deadline.
+/// Encodes a record as msgpack for replication. \a remaining is the time to the deadline.
 std::string encodeRecord(const JobRecord &record, Base::Duration remaining, bool withPayloads);
 /// Decodes into a record in phase Replica. Times are set relative to \a now. Returns nothing for
 /// bytes that are not a record.
--- a/src/libs/jobs/recordstore.h
+++ b/src/libs/jobs/recordstore.h
@@ -1,4 +1,4 @@
-// All records that a daemon holds, bounded in bytes and in time.
+// Stores all records of a daemon, with size accounting and expiry.
 #pragma once
 
 #include "jobrecord.h"
@@ -9,21 +9,21 @@
 
 namespace Jobs {
 
-/// Owns the records, addressed by request. Pointers stay valid until the record is erased.
+/// Owns the records, indexed by request id. Pointers stay valid until the record is erased.
 class RecordStore
 {
 public:
     JobRecord *find(const Base::RequestId &id);
     const JobRecord *find(const Base::RequestId &id) const;
-    /// Adds a record or replaces the one of the same id.
+    /// Adds a record or replaces the one with the same id.
     JobRecord &put(JobRecord record);
     void erase(const Base::RequestId &id);
-    /// Accounts for texts added to or dropped from \a record.
+    /// Updates the size accounting after payloads, tasks or results of \a record have changed.
     void updateSize(JobRecord &record);
 
     /// Ids of the records of \a shard, in no particular order.
     std::vector<Base::RequestId> idsOfShard(const Base::ShardId &shard) const;
-    /// Erases \a record at \a time, unless that is set anew.
+    /// Lets \a record expire at \a time; replaces an earlier expiry.
     void setExpiry(JobRecord &record, Base::TimePoint time);
     /// Erases the records that have expired by \a now.
     void expire(Base::TimePoint now);
--- a/src/libs/jobs/replicator.cpp
+++ b/src/libs/jobs/replicator.cpp
@@ -1,4 +1,4 @@
-// Replication with acknowledgements and resends.
+// Record replication with acknowledgements and resends.
 #include "replicator.h"
 
 #include "jobsconstants.h"
@@ -35,7 +35,7 @@
             pending.unacknowledged.insert(daemon);
     }
     pending.callback = std::move(acknowledged);
-    add(std::move(pending));
+    send(std::move(pending));
 }
 
 void Replicator::copyTo(Base::ShardIndex shard, Base::Epoch epoch, const Base::DaemonId &daemon,
@@ -59,13 +59,13 @@
             if (joining == m_joining.end() || !joining->second.contains(daemon))
                 return;
             --joining->second.at(daemon).missingChunks;
-            checkJoin(shard, daemon);
+            reportCopyIfComplete(shard, daemon);
         };
-        add(std::move(pending));
+        send(std::move(pending));
     }
 }
 
-void Replicator::checkJoin(Base::ShardIndex shard, const Base::DaemonId &daemon)
+void Replicator::reportCopyIfComplete(Base::ShardIndex shard, const Base::DaemonId &daemon)
 {
     const auto joining = m_joining.find(shard);
     if (joining == m_joining.end())
@@ -73,8 +73,8 @@
     const auto join = joining->second.find(daemon);
     if (join == joining->second.end() || join->second.missingChunks > 0 || !join->second.copied)
         return;
-    // Once listed, the replica may take over, so it must not miss a record that tasks were started
-    // for. Those still with a callback wait for it as soon as it is required.
+    // Once listed, the replica may take over, so it must hold every record for which tasks may have
+    // started. Messages that still have a callback wait for the replica as soon as it is required.
     for (const auto &[sequence, it] : m_pending) {
         if (it.message.shard == shard.value() && !it.callback && it.unacknowledged.contains(daemon))
             return;
@@ -82,13 +82,13 @@
     std::exchange(join->second.copied, {})();
 }
 
-void Replicator::add(Pending pending)
+void Replicator::send(Pending pending)
 {
     const std::uint64_t sequence = ++m_lastSequence;
     pending.message.sequence = sequence;
     pending.message.incompleteMs = static_cast<std::uint64_t>(
         Base::toMilliseconds(m_incompleteTime(Base::ShardIndex(pending.message.shard))));
-    if (isSettled(pending) && pending.unacknowledged.empty()) {
+    if (isAcknowledged(pending) && pending.unacknowledged.empty()) {
         pending.callback();
         return;
     }
@@ -96,7 +96,7 @@
         m_peers.send(it, pending.message);
     m_pending.emplace(sequence, std::move(pending));
     armResend();
-    settle(sequence);
+    completeIfAcknowledged(sequence);
 }
 
 void Replicator::dropFormerReplicas(Pending &pending) const
@@ -111,7 +111,7 @@
     });
 }
 
-bool Replicator::isSettled(const Pending &pending) const
+bool Replicator::isAcknowledged(const Pending &pending) const
 {
     if (pending.isCopy)
         return pending.unacknowledged.empty();
@@ -121,15 +121,16 @@
     });
 }
 
-void Replicator::settle(std::uint64_t sequence)
+void Replicator::completeIfAcknowledged(std::uint64_t sequence)
 {
     const auto it = m_pending.find(sequence);
     if (it == m_pending.end())
         return;
     dropFormerReplicas(it->second);
-    if (it->second.callback && isSettled(it->second)) {
+    if (it->second.callback && isAcknowledged(it->second)) {
         const Callback callback = std::exchange(it->second.callback, {});
-        // A joining replica still needs the record, so the entry stays until it has acknowledged.
+        // A joining replica still needs the records, so the entry stays until it has acknowledged
+        // them.
         if (it->second.unacknowledged.empty())
             m_pending.erase(it);
         callback();
@@ -153,8 +154,8 @@
     if (it == m_pending.end() || it->second.message.shard != ack.shard)
         return;
     it->second.unacknowledged.erase(from.daemon);
-    settle(ack.sequence);
-    checkJoin(shard, from.daemon);
+    completeIfAcknowledged(ack.sequence);
+    reportCopyIfComplete(shard, from.daemon);
 }
 
 static std::vector<std::uint64_t> sequencesOf(const auto &pending, Base::ShardIndex shard)
@@ -170,7 +171,7 @@
 void Replicator::requiredReplicasChanged(Base::ShardIndex shard)
 {
     for (const std::uint64_t it : sequencesOf(m_pending, shard))
-        settle(it);
+        completeIfAcknowledged(it);
 }
 
 void Replicator::shardLost(Base::ShardIndex shard)
@@ -193,7 +194,7 @@
         if (pending.isCopy && pending.unacknowledged.contains(daemon))
             m_pending.erase(it);
         else
-            settle(it);
+            completeIfAcknowledged(it);
     }
 }
 
--- a/src/libs/jobs/replicator.h
+++ b/src/libs/jobs/replicator.h
@@ -1,4 +1,4 @@
-// Sends records to the replicas of a shard and waits until all have acknowledged.
+// Sends records to the replicas of a shard and waits until all have acknowledged them.
 #pragma once
 
 #include "shardauthority.h"
@@ -14,30 +14,30 @@
 
 namespace Jobs {
 
-/// Replication from the owner's side. A callback runs at most once, and never if the shard is lost
+/// The owner's side of replication. A callback runs at most once, and never if the shard is lost
 /// before all required replicas have acknowledged.
 class Replicator
 {
 public:
     using Callback = std::function<void()>;
 
-    /// Tells how long the knowledge of a shard is still incomplete.
+    /// Returns for how long records of the shard may still be missing.
     using IncompleteTime = std::function<Base::Duration(Base::ShardIndex)>;
 
     Replicator(Base::Timers &timers, Wire::PeerPort &peers, ShardAuthority &authority,
                IncompleteTime incompleteTime);
     ~Replicator();
 
-    /// Calls \a acknowledged, possibly from within this function, when every required replica holds
+    /// Calls \a acknowledged, possibly from within this function, once every required replica holds
     /// \a records.
     void replicate(Base::ShardIndex shard, Base::Epoch epoch, std::vector<std::string> records,
                    Callback acknowledged);
     /// Copies \a chunks to a joining replica, then calls \a copied. From now on the joining replica
-    /// also receives every new record; \a copied is called at a moment when it holds all records
+    /// also receives every new record. When \a copied is called, the replica holds all records
     /// whose replication has been reported as acknowledged.
     void copyTo(Base::ShardIndex shard, Base::Epoch epoch, const Base::DaemonId &daemon,
                 std::vector<std::vector<std::string>> chunks, Callback copied);
-    /// Ends the joining phase of \a daemon, whether it has become a replica or not.
+    /// Ends the joining phase of \a daemon, whether or not it has become a replica.
     void endJoin(Base::ShardIndex shard, const Base::DaemonId &daemon);
     bool isJoining(Base::ShardIndex shard, const Base::DaemonId &daemon) const;
 
@@ -51,7 +51,7 @@
     {
         Wire::Replicate message;
         std::set<Base::DaemonId> unacknowledged;
-        bool isCopy = false; // waits for the joining replica, required or not
+        bool isCopy = false; // must be acknowledged by the joining replica, required or not
         Callback callback;
     };
 
@@ -61,13 +61,14 @@
         Callback copied; // null once called
     };
 
-    void add(Pending pending);
-    /// Calls Join::copied when it is due.
-    void checkJoin(Base::ShardIndex shard, const Base::DaemonId &daemon);
-    /// Forgets daemons that neither must acknowledge nor are joining.
+    void send(Pending pending);
+    /// Calls Join::copied once the joining replica holds all records that it needs.
+    void reportCopyIfComplete(Base::ShardIndex shard, const Base::DaemonId &daemon);
+    /// Stops waiting for daemons that are neither required nor joining replicas.
     void dropFormerReplicas(Pending &pending) const;
-    bool isSettled(const Pending &pending) const;
-    void settle(std::uint64_t sequence);
+    /// Whether all daemons that must acknowledge \a pending have done so.
+    bool isAcknowledged(const Pending &pending) const;
+    void completeIfAcknowledged(std::uint64_t sequence);
     void resend();
     void armResend();
 
--- a/src/libs/jobs/request.cpp
+++ b/src/libs/jobs/request.cpp
@@ -1,4 +1,4 @@
-// Names and digests of requests.
+// Request digests and names of request states.
 #include "request.h"
 
 #include <base/hash.h>
--- a/src/libs/jobs/request.h
+++ b/src/libs/jobs/request.h
@@ -1,4 +1,4 @@
-// Requests and their outcomes, as callers see them.
+// Requests and their outcomes, as exposed to callers.
 #pragma once
 
 #include <absl/status/status.h>
@@ -20,8 +20,8 @@
     Base::RequestId id;
     Base::KindId kind;
     std::vector<std::string> payloads;                 // JSON, one for each task
-    std::optional<std::chrono::milliseconds> deadline; // may only shorten the kind's
-    bool nonRepeatable = false;                        // may only tighten the kind's
+    std::optional<std::chrono::milliseconds> deadline; // can only shorten the kind's
+    bool nonRepeatable = false;                        // can only restrict a repeatable kind
     bool isFirst = false; // the caller has never sent this key to any daemon before
     std::string digest;   // of kind and payloads
 
@@ -34,7 +34,7 @@
 
 std::string_view requestStateName(RequestState state);
 
-/// The state of a request. Complete, failed and notRun are outcomes: they never change.
+/// The state of a request. Complete, failed and notRun are final outcomes.
 struct RequestView
 {
     RequestState state = RequestState::Pending;
@@ -44,8 +44,8 @@
     Base::Duration retryAfter{0};     // hint with notRun
 };
 
-/// If \a status is not OK, nothing is said of the request's fate: notOwner, noLease, keyConflict,
-/// unknownRequest, badRequest and the like.
+/// If \a status is not OK, the reply does not tell the state of the request: notOwner, noLease,
+/// keyConflict, unknownRequest, badRequest and the like.
 struct Reply
 {
     absl::Status status;
--- a/src/libs/jobs/shardauthority.h
+++ b/src/libs/jobs/shardauthority.h
@@ -1,4 +1,4 @@
-// What the jobs library needs to know of the ownership of shards.
+// Interface to shard ownership, as required by the jobs library.
 #pragma once
 
 #include <absl/status/status.h>
@@ -11,7 +11,7 @@
 
 namespace Jobs {
 
-/// The ownership of the shards of this daemon's failure domain.
+/// Ownership of the shards of this daemon's failure domain.
 class ShardAuthority
 {
 public:
@@ -19,18 +19,19 @@
 
     virtual ~ShardAuthority() = default;
 
-    /// The epoch under which this daemon owns \a shard with a lease that is valid at this moment.
+    /// The epoch under which this daemon owns \a shard; none unless its lease is valid now.
     virtual std::optional<Base::Epoch> leasedEpoch(Base::ShardIndex shard) const = 0;
     /// Daemons that must acknowledge a record of the shard.
     virtual std::vector<Base::DaemonId> requiredReplicas(Base::ShardIndex shard) const = 0;
 
-    /// Whether this daemon may take records of \a shard from \a from under \a epoch.
+    /// Whether this daemon may accept records of \a shard from \a from under \a epoch.
     virtual bool acceptsReplication(Base::ShardIndex shard, Base::Epoch epoch,
                                     const Wire::PeerIdentity &from) = 0;
     virtual Base::Epoch highestKnownEpoch(Base::ShardIndex shard) const = 0;
-    /// Someone has seen \a knownEpoch, which is newer than ours: the shard stops at once.
+    /// A peer or worker refused a message because it knows \a knownEpoch, which is newer than ours:
+    /// the shard is given up immediately.
     virtual void ownershipRefused(Base::ShardIndex shard, Base::Epoch knownEpoch) = 0;
-    /// Lists \a daemon, which holds a copy of all records now, as a replica.
+    /// Lists \a daemon, which now holds a copy of all records, as a replica.
     virtual void addReplica(Base::ShardIndex shard, const Base::DaemonId &daemon,
                             Base::Incarnation incarnation, Callback callback) = 0;
 };
--- a/src/libs/jobs/shardrecovery.cpp
+++ b/src/libs/jobs/shardrecovery.cpp
@@ -14,12 +14,12 @@
     , m_workers(workers)
     , m_shard(std::move(shard))
     , m_epoch(epoch)
-    , m_missing(upstreams.size())
+    , m_pendingCount(upstreams.size())
     , m_reported(std::move(reported))
     , m_done(std::move(done))
 {
     for (const Base::UpstreamId &it : upstreams)
-        m_answers.emplace(it, Answer::None);
+        m_fenceStates.emplace(it, FenceState::Pending);
 }
 
 ShardRecovery::~ShardRecovery()
@@ -30,9 +30,10 @@
 
 void ShardRecovery::start()
 {
-    m_cutoffTimer = m_timers.schedule(
-        m_missing == 0 ? Base::Duration(0) : Constants::RECOVERY_CUTOFF_MS, [this] { finish(); });
-    for (const auto &[upstream, answer] : m_answers)
+    m_cutoffTimer =
+        m_timers.schedule(m_pendingCount == 0 ? Base::Duration(0) : Constants::RECOVERY_CUTOFF_MS,
+                          [this] { finish(); });
+    for (const auto &[upstream, state] : m_fenceStates)
         fence(upstream);
 }
 
@@ -56,17 +57,17 @@
                             if (!*alive)
                                 return;
                         }
-                        answered(upstream, fences ? Answer::Fenced : Answer::Unfenced);
+                        fenceReplied(upstream, fences ? FenceState::Fenced : FenceState::Unfenced);
                     });
 }
 
-void ShardRecovery::answered(const Base::UpstreamId &upstream, Answer answer)
+void ShardRecovery::fenceReplied(const Base::UpstreamId &upstream, FenceState state)
 {
-    Answer &current = m_answers.at(upstream);
-    if (current != Answer::None)
+    FenceState &current = m_fenceStates.at(upstream);
+    if (current != FenceState::Pending)
         return;
-    current = answer;
-    if (--m_missing == 0)
+    current = state;
+    if (--m_pendingCount == 0)
         finish();
 }
 
@@ -74,8 +75,8 @@
 {
     m_timers.cancel(m_cutoffTimer);
     std::vector<Base::UpstreamId> uncertain;
-    for (const auto &[upstream, answer] : m_answers) {
-        if (answer != Answer::Fenced)
+    for (const auto &[upstream, state] : m_fenceStates) {
+        if (state != FenceState::Fenced)
             uncertain.push_back(upstream);
     }
     // The callback may destroy this object.
--- a/src/libs/jobs/stopbatcher.cpp
+++ b/src/libs/jobs/stopbatcher.cpp
@@ -1,4 +1,4 @@
-// One batch per upstream and tick.
+// Sends one batch per upstream and tick.
 #include "stopbatcher.h"
 
 #include <utility>
--- a/src/libs/jobs/stopbatcher.h
+++ b/src/libs/jobs/stopbatcher.h
@@ -1,4 +1,4 @@
-// Collects stop requests, so that a wave of cancellations costs one message per worker.
+// Batches stop requests, so that a burst of cancellations costs one message per worker.
 #pragma once
 
 #include "workerport.h"
@@ -9,7 +9,8 @@
 
 namespace Jobs {
 
-/// The first stop starts a tick; at its end, the stops of each upstream are sent together.
+/// The first stop request starts a tick, at whose end the requests of each upstream are sent
+/// together.
 class StopBatcher
 {
 public:
@@ -22,9 +23,9 @@
     StopBatcher &operator=(const StopBatcher &) = delete;
 
     void stop(const TaskName &task, const Base::UpstreamId &upstream);
-    /// Drops a pending stop, as the task has ended by itself.
+    /// Drops the pending stop request of a task that has ended by itself.
     void taskEnded(const TaskName &task);
-    /// Sends all pending stops now, for example before the daemon exits.
+    /// Sends all pending stop requests immediately, for example before the daemon exits.
     void flush();
 
 private:
--- a/src/libs/jobs/taskrunner.cpp
+++ b/src/libs/jobs/taskrunner.cpp
@@ -1,4 +1,4 @@
-// Start, revoke and await of a task.
+// Starting, revoking and awaiting of tasks.
 #include "taskrunner.h"
 
 #include "jobsconstants.h"
@@ -106,7 +106,7 @@
         retryOrGiveUp(attempt, &TaskRunner::await);
         return;
     case TaskState::Unknown:
-        // The worker has lost its memory of a task that it had, so it may have run.
+        // The worker no longer knows a task that it received, so the task may have run.
         end.kind = TaskEndKind::Lost;
         break;
     }
--- a/src/libs/jobs/taskrunner.h
+++ b/src/libs/jobs/taskrunner.h
@@ -1,4 +1,4 @@
-// Runs one task on one upstream and finds out what became of it.
+// Runs tasks on upstreams and determines how they ended.
 #pragma once
 
 #include "workerport.h"
@@ -9,25 +9,25 @@
 
 enum class TaskEndKind {
     Succeeded,
-    Failed,     ///< It ran and reported an error.
-    Stopped,    ///< It was stopped on request.
-    NotStarted, ///< It certainly was not and will not be started by this upstream's order.
-    StaleEpoch, ///< Not started, because the shard has a newer owner.
-    Lost,       ///< It may have started; its fate can't be established.
+    Failed,     ///< The task ran and reported an error.
+    Stopped,    ///< The task was stopped on request.
+    NotStarted, ///< The upstream has not started the task and never will for this order.
+    StaleEpoch, ///< Not started because the shard has a newer owner.
+    Lost,       ///< The task may have started; whether and how it ended can't be determined.
 };
 
 struct TaskEnd
 {
     TaskEndKind kind = TaskEndKind::Lost;
     std::string result; // JSON
-    /// The upstream was not reached or refused in a way that says nothing about other tasks.
+    /// The upstream was not reached or refused the start; it may still accept other tasks.
     bool isUpstreamBusy = false;
     /// The upstream will never accept this task again.
     bool isRevoked = false;
 };
 
-/// Sends starts and resolves those of unknown fate: it revokes the task, so that the worker either
-/// promises not to start it or reports it, and then awaits it.
+/// Sends start orders. If it is unknown whether a worker received one, the task is revoked, so that
+/// the worker either guarantees never to start it or reports its state; a running task is awaited.
 class TaskRunner
 {
 public:
@@ -35,8 +35,8 @@
 
     TaskRunner(Base::Timers &timers, WorkerPort &workers);
 
-    /// \a canRevoke: the upstream supports revoke. \a giveUpAt: when to report a silent worker's
-    /// task as lost.
+    /// \a canRevoke: the upstream supports revoke. \a giveUpAt: when the task of a worker that
+    /// does not answer is reported as lost.
     void run(const Base::UpstreamId &upstream, StartOrder order, bool canRevoke,
              Base::TimePoint giveUpAt, Callback callback);
     /// Waits for a task that the upstream is known to have started.
--- a/src/libs/jobs/workerport.cpp
+++ b/src/libs/jobs/workerport.cpp
@@ -1,4 +1,4 @@
-// Names used in orders to workers.
+// Names of tasks and shards in orders to workers.
 #include "workerport.h"
 
 #include <fmt/format.h>
--- a/src/libs/jobs/workerport.h
+++ b/src/libs/jobs/workerport.h
@@ -1,4 +1,4 @@
-// How the jobs library talks to workers. docs/protocols.md describes the HTTP form.
+// Interface between the jobs library and workers. docs/protocols.md describes its HTTP form.
 #pragma once
 
 #include <absl/status/status.h>
@@ -23,11 +23,11 @@
     Base::Epoch epoch;
     Base::KindId kind;
     std::string payload;       // JSON
-    Base::Duration timeout{0}; // the worker's answer is awaited this long
+    Base::Duration timeout{0}; // how long to wait for the worker's answer
 };
 
 enum class TaskState {
-    Unknown,    ///< The worker has never heard of the task and may still start it.
+    Unknown,    ///< The worker does not know the task and may still start it.
     NotStarted, ///< The worker has not started the task and never will.
     Running,
     Done,
@@ -35,7 +35,7 @@
     Stopped,
 };
 
-/// What a worker says of a task.
+/// The state of a task as reported by a worker.
 struct TaskReport
 {
     TaskName task;
@@ -44,11 +44,11 @@
 };
 
 enum class StartFate {
-    Ended,      ///< The report has the result.
+    Ended,      ///< The task has ended; the report contains its result.
     NotSent,    ///< No byte reached the worker.
     Refused,    ///< The worker did not and will not start it for this order.
     StaleEpoch, ///< Refused, because the shard has a newer owner.
-    Known,      ///< The worker has this task already, from an earlier order.
+    Known,      ///< The worker already has this task from an earlier order.
     Unknown,    ///< The order may have been received.
 };
 
@@ -58,15 +58,15 @@
     TaskReport report;
 };
 
-/// Sends orders to workers. Callbacks run on the loop, never from within the call. A failed status
-/// is peerUnreachable, fateUnknown or unservable (the worker lacks the operation).
+/// Sends orders to workers. Callbacks run on the event loop, never from within the call. A failed
+/// status is peerUnreachable, fateUnknown or unservable (the worker lacks the operation).
 class WorkerPort
 {
 public:
     using StartCallback = std::function<void(const StartReply &)>;
     using ReportsCallback =
         std::function<void(const absl::Status &, const std::vector<TaskReport> &)>;
-    /// \a fences: the worker refuses starts of older epochs from now on.
+    /// \a fences: from now on the worker refuses starts of older epochs.
     using FenceCallback =
         std::function<void(const absl::Status &, bool fences, const std::vector<TaskReport> &)>;
 
@@ -74,13 +74,13 @@
 
     virtual void start(const Base::UpstreamId &upstream, const StartOrder &order,
                        StartCallback callback) = 0;
-    /// Waits up to \a wait for the end of a task, then reports it in any state.
+    /// Waits up to \a wait for the end of a task, then reports its state, whichever it is.
     virtual void awaitTask(const Base::UpstreamId &upstream, const TaskName &task,
                            Base::Duration wait, ReportsCallback callback) = 0;
     /// Asks the worker never to start the tasks that it has not started.
     virtual void revoke(const Base::UpstreamId &upstream, const std::vector<TaskName> &tasks,
                         ReportsCallback callback) = 0;
-    /// Stops running tasks; their start or wait is answered as usual.
+    /// Stops running tasks; their start() and awaitTask() callbacks run as usual.
     virtual void stop(const Base::UpstreamId &upstream, const std::vector<TaskName> &tasks) = 0;
     virtual void fence(const Base::UpstreamId &upstream, const Base::ShardId &shard,
                        Base::Epoch epoch, FenceCallback callback) = 0;
--- a/src/plugins/callergateway/requestrouter.cpp
+++ b/src/plugins/callergateway/requestrouter.cpp
@@ -153,7 +153,7 @@
     }
     const std::uint32_t attempt = route.attempts++;
     const bool isKnownHere = m_jobs->coordinator().store().find(route.id) != nullptr
-                             && m_jobs->coordinator().store().find(route.id)->isHeldHere();
+                             && m_jobs->coordinator().store().find(route.id)->isAuthoritative();
     if (isKnownHere || (route.operation == ForwardOperation::Submit && isLocal(route.submission))) {
         askHere(id);
         return;
--- a/src/plugins/jobservice/jobservice.cpp
+++ b/src/plugins/jobservice/jobservice.cpp
@@ -1,4 +1,4 @@
-// Wiring of coordinator and scheduler, and the hand-over at shutdown.
+// Connects coordinator and scheduler to the other services; hands shards over at shutdown.
 #include "jobservice.h"
 
 #include <base/failure.h>
@@ -16,12 +16,12 @@
 
 using Base::FailureCode;
 
-/// Live daemons and leaving hosts are looked at, and slots lent and returned, this often.
-static constexpr std::chrono::milliseconds EXCHANGE_INTERVAL_MS{200};
+/// Interval at which live daemons and leaving hosts are checked, and slots are lent and returned.
+static constexpr std::chrono::milliseconds SLOT_SHARES_INTERVAL_MS{200};
 static constexpr std::size_t MAX_LOAN_REQUESTS = 32;
 
-/// Most tasks end within a second. For longer ones the worker's refusal beyond its slots remains,
-/// which costs a wasted message; a longer wait would leave slots of a lost daemon idle for as long.
+/// Most tasks end within a second. Longer ones rely on the worker refusing tasks beyond its slots,
+/// which costs a wasted message; with a longer time, slots of a lost daemon would stay idle longer.
 static Scheduling::SlotShareOptions slotShareOptions()
 {
     Scheduling::SlotShareOptions options;
@@ -79,7 +79,7 @@
     manifest->observe([this](const ManifestService::ManifestHolder::Snapshot &snapshot) {
         m_manifest = snapshot;
         m_coordinator->setManifest(snapshot);
-        exchangeSlots();
+        updateSlotShares();
     });
     return absl::OkStatus();
 }
@@ -90,22 +90,22 @@
         m_telemetry->metrics().setGauge(name, help,
                                         [value] { return static_cast<double>(value()); });
     };
-    add("endivepath_leases", "Shards whose lease is held.",
+    add("endivepath_leases", "Shards whose lease this daemon holds.",
         [this] { return m_ownership->ownedShards().size(); });
     add("endivepath_active_requests", "Requests without a final outcome.",
         [this] { return m_coordinator->activeCount(); });
-    add("endivepath_records", "Records held, also for other daemons.",
+    add("endivepath_records", "Records held, including replicas for other daemons.",
         [this] { return m_coordinator->store().count(); });
-    add("endivepath_record_bytes", "Memory of the records.",
+    add("endivepath_record_bytes", "Memory used by the records, in bytes.",
         [this] { return m_coordinator->store().bytes(); });
-    add("endivepath_queued_tasks", "Tasks that wait for a slot.",
+    add("endivepath_queued_tasks", "Tasks waiting for a slot.",
         [this] { return m_scheduler->queuedCount(); });
-    add("endivepath_started_tasks", "Tasks that hold a slot.",
+    add("endivepath_started_tasks", "Tasks occupying a slot.",
         [this] { return m_scheduler->startedCount(); });
 }
 
-void JobServiceImpl::recordLease(EventLog::EventType type, Base::ShardIndex shard,
-                                 Base::Epoch epoch)
+void JobServiceImpl::recordLeaseEvent(EventLog::EventType type, Base::ShardIndex shard,
+                                      Base::Epoch epoch)
 {
     const Base::ShardId id{m_runtime.settings.domain, shard};
     EventLog::EventInfo event;
@@ -117,13 +117,14 @@
 
 void JobServiceImpl::stop()
 {
-    m_runtime.timers.cancel(m_exchangeTimer);
+    m_runtime.timers.cancel(m_slotSharesTimer);
 }
 
-void JobServiceImpl::exchangeSlots()
+void JobServiceImpl::updateSlotShares()
 {
-    m_runtime.timers.cancel(m_exchangeTimer);
-    m_exchangeTimer = m_runtime.timers.schedule(EXCHANGE_INTERVAL_MS, [this] { exchangeSlots(); });
+    m_runtime.timers.cancel(m_slotSharesTimer);
+    m_slotSharesTimer =
+        m_runtime.timers.schedule(SLOT_SHARES_INTERVAL_MS, [this] { updateSlotShares(); });
     std::map<Base::UpstreamId, std::uint32_t> slots;
     for (const auto &[id, upstream] : m_manifest->upstreams) {
         if (upstream.domain == m_runtime.settings.domain)
@@ -187,19 +188,18 @@
         m_shares->loanReceived(from.daemon, *loan);
 }
 
-void JobServiceImpl::shardAcquired(Base::ShardIndex shard, Base::Epoch epoch,
-                                   bool completeKnowledge)
+void JobServiceImpl::shardAcquired(Base::ShardIndex shard, Base::Epoch epoch, bool recordsComplete)
 {
-    recordLease(EventLog::EventType::LeaseGained, shard, epoch);
-    if (!completeKnowledge)
+    recordLeaseEvent(EventLog::EventType::LeaseGained, shard, epoch);
+    if (!recordsComplete)
         Base::log(Base::LogLevel::Error, "recordsLost", {{"shard", shard}, {"epoch", epoch}});
-    m_coordinator->shardAcquired(shard, epoch, completeKnowledge);
+    m_coordinator->shardAcquired(shard, epoch, recordsComplete);
     m_cluster->announceSoon();
 }
 
 void JobServiceImpl::shardLost(Base::ShardIndex shard)
 {
-    recordLease(EventLog::EventType::LeaseLost, shard, {});
+    recordLeaseEvent(EventLog::EventType::LeaseLost, shard, {});
     m_coordinator->shardLost(shard);
 }
 
@@ -242,7 +242,7 @@
         });
     if (target == replicas.end())
         return;
-    m_coordinator->holdShard(shard);
+    m_coordinator->pauseShard(shard);
     m_ownership->ownership()->handOver(shard, *target, [this, shard](const absl::Status &status) {
         if (status.ok())
             return;
@@ -265,11 +265,11 @@
 void JobServiceImpl::checkDrained()
 {
     const bool isDone = m_coordinator->activeCount() == 0 && m_ownership->ownedShards().empty();
-    // With the platform away a shard can't be handed over; its work is finished here instead.
-    const bool isAlone =
+    // Without the platform a shard can't be handed over, so its requests are finished here instead.
+    const bool canStopWithoutHandOver =
         m_coordinator->activeCount() == 0 && (m_hasHandOverFailed || !hasSuccessor());
-    if (isDone || isAlone || m_runtime.timers.now() >= m_drainDeadline) {
-        if (!isDone && !isAlone) {
+    if (isDone || canStopWithoutHandOver || m_runtime.timers.now() >= m_drainDeadline) {
+        if (!isDone && !canStopWithoutHandOver) {
             Base::log(Base::LogLevel::Error, "drainIncomplete",
                       {{"requests", m_coordinator->activeCount()}});
         }
--- a/src/plugins/jobservice/jobservice.h
+++ b/src/plugins/jobservice/jobservice.h
@@ -1,4 +1,4 @@
-// The jobs library and the scheduler as a service.
+// Service that runs the jobs library and the scheduler.
 #pragma once
 
 #include <cluster/clusterview.h>
@@ -17,7 +17,8 @@
 
 namespace JobService {
 
-/// Owns coordinator and scheduler and feeds them ownership, membership and peer messages.
+/// Owns coordinator and scheduler and forwards ownership changes, membership and peer messages to
+/// them.
 class JobServiceImpl : public Kernel::Service,
                        public Wire::PeerListener,
                        public Ownership::OwnershipObserver,
@@ -29,7 +30,7 @@
     ~JobServiceImpl() override;
 
     absl::Status start(const Kernel::ServiceRegistry &registry) override;
-    /// Hands the owned shards over, or finishes their work if that is not possible.
+    /// Hands the owned shards over, or finishes their requests if that is not possible.
     void drain(std::function<void()> done) override;
     void stop() override;
 
@@ -39,7 +40,7 @@
     // Wire::PeerListener
     void peerMessageReceived(const Wire::PeerIdentity &from, const Wire::Message &message) override;
     // Ownership::OwnershipObserver
-    void shardAcquired(Base::ShardIndex shard, Base::Epoch epoch, bool completeKnowledge) override;
+    void shardAcquired(Base::ShardIndex shard, Base::Epoch epoch, bool recordsComplete) override;
     void shardLost(Base::ShardIndex shard) override;
     void requiredReplicasChanged(Base::ShardIndex shard) override;
     void replicaJoinWanted(Base::ShardIndex shard, const Base::DaemonId &daemon,
@@ -52,14 +53,14 @@
     void slotSharesChanged() override;
 
 private:
-    void exchangeSlots();
+    void updateSlotShares();
     void applySlotShares();
     void registerGauges();
-    void recordLease(EventLog::EventType type, Base::ShardIndex shard, Base::Epoch epoch);
+    void recordLeaseEvent(EventLog::EventType type, Base::ShardIndex shard, Base::Epoch epoch);
     void handOverShards();
     void handOverShard(Base::ShardIndex shard);
     void checkDrained();
-    /// Whether a daemon of the failure domain lives that is not draining.
+    /// Whether another daemon of the failure domain is alive and not draining.
     bool hasSuccessor() const;
 
     const Settings::Runtime m_runtime;
@@ -72,7 +73,7 @@
     std::unique_ptr<Scheduling::QueueScheduler> m_scheduler;
     std::unique_ptr<Jobs::Coordinator> m_coordinator;
     std::unique_ptr<Scheduling::SlotShares> m_shares;
-    Base::TimerId m_exchangeTimer;
+    Base::TimerId m_slotSharesTimer;
     std::function<void()> m_drained; // set while draining
     Base::TimePoint m_drainDeadline;
     bool m_hasHandOverFailed = false;
--- a/tests/auto/jobs/tst_jobs.cpp
+++ b/tests/auto/jobs/tst_jobs.cpp
@@ -357,7 +357,7 @@
     f.submitAndRun(submission, 100ms);
     const DaemonId to = f.owner->ownership.requiredReplicas(SHARD).front();
     absl::Status status = Base::makeFailure(FailureCode::Timeout, "no callback");
-    f.owner->coordinator.holdShard(SHARD);
+    f.owner->coordinator.pauseShard(SHARD);
     f.owner->ownership.handOver(SHARD, to, [&](const absl::Status &it) { status = it; });
     f.run(3s);
     BOOST_TEST(status.ok());
--- a/tests/auto/jobs/tst_jobsrandom.cpp
+++ b/tests/auto/jobs/tst_jobsrandom.cpp
@@ -202,7 +202,7 @@
         const DaemonId to = drawDaemon();
         const DaemonId id = owner->identity.daemon;
         const auto run = owner->identity.incarnation;
-        owner->coordinator.holdShard(shard);
+        owner->coordinator.pauseShard(shard);
         owner->ownership.handOver(shard, to, [=, this](const absl::Status &status) {
             JobDaemon *it = find(id);
             if (!status.ok() && it && it->identity.incarnation == run)
