--- a/tests/auto/jobs/jobcluster.h
+++ b/tests/auto/jobs/jobcluster.h
@@ -1,5 +1,5 @@
-// Several daemons with the real coordinator, ownership and scheduler over fakes, with the
-// invariants of requests that must hold at every instant.
+// Simulates several daemons, with the real coordinator, ownership and scheduler over fakes, and
+// checks the invariants of requests after each time step.
 #pragma once
 
 #include <base/failure.h>
@@ -84,7 +84,7 @@
 
 class JobCluster;
 
-/// One run of a daemon.
+/// One incarnation of a daemon.
 class JobDaemon : public Ownership::OwnershipObserver,
                   public Jobs::ShardAuthority,
                   public Jobs::JobObserver,
@@ -95,9 +95,9 @@
     JobDaemon(JobCluster &cluster, Wire::PeerIdentity self, std::vector<DaemonId> peers);
 
     // Ownership::OwnershipObserver
-    void shardAcquired(ShardIndex shard, Epoch epoch, bool complete) override
+    void shardAcquired(ShardIndex shard, Epoch epoch, bool recordsComplete) override
     {
-        coordinator.shardAcquired(shard, epoch, complete);
+        coordinator.shardAcquired(shard, epoch, recordsComplete);
     }
     void shardLost(ShardIndex shard) override { coordinator.shardLost(shard); }
     void requiredReplicasChanged(ShardIndex shard) override
@@ -173,7 +173,7 @@
     std::vector<DaemonId> m_peers;
 };
 
-/// What callers were told of one key.
+/// One request key: its submission and the outcome that callers have received.
 struct KeyHistory
 {
     Jobs::Submission submission;
@@ -216,7 +216,7 @@
     }
     void kill(const DaemonId &id) { daemons.erase(id); }
 
-    JobDaemon *holder(ShardIndex shard) const
+    JobDaemon *leaseHolder(ShardIndex shard) const
     {
         for (const auto &[id, daemon] : daemons) {
             if (daemon->ownership.holdsLease(shard))
@@ -226,11 +226,11 @@
     }
     ShardIndex shardOf(const RequestId &id) const { return Manifest::shardOf(*manifest, id).index; }
 
-    void run(Base::Duration duration, Base::Duration pace = 10ms)
+    void run(Base::Duration duration, Base::Duration step = 10ms)
     {
-        for (Base::Duration done{}; done < duration; done += pace) {
-            clock.advance(pace);
-            check();
+        for (Base::Duration done{}; done < duration; done += step) {
+            clock.advance(step);
+            checkStarts();
         }
     }
 
@@ -241,11 +241,11 @@
         history.isRepeatable = isRepeatable;
         daemon.coordinator.submit(
             submission, 5s,
-            [this, id = submission.id](const Jobs::Reply &reply) { replied(id, reply); });
+            [this, id = submission.id](const Jobs::Reply &reply) { checkReply(id, reply); });
     }
 
-    /// Checks an answer of the daemon \a run against all earlier ones of the same key.
-    void replied(const RequestId &id, const Jobs::Reply &reply)
+    /// Checks a reply against all earlier ones with the same key.
+    void checkReply(const RequestId &id, const Jobs::Reply &reply)
     {
         ++replies;
         const Jobs::RequestView &view = reply.view;
@@ -256,14 +256,14 @@
         const std::size_t n = history.submission.payloads.size();
         if (view.state == RequestState::Complete) {
             if (view.results.size() != n)
-                violation(fmt::format("{}: partial answer", key));
+                violation(fmt::format("{}: incomplete results", key));
             for (std::size_t i = 0; i < view.results.size() && i < n; ++i) {
                 if (view.results[i]
                     != TestSupport::FakeWorkers::resultOf(history.submission.payloads[i]))
                     violation(fmt::format("{}: wrong result of task {}", key, i));
             }
         } else if (!view.results.empty()) {
-            violation(fmt::format("{}: results without completeness", key));
+            violation(fmt::format("{}: results in an incomplete outcome", key));
         }
         if (view.state == RequestState::NotRun && startsOf(history) > 0)
             violation(fmt::format("{}: notRun after a start", key));
@@ -301,7 +301,7 @@
         violated = true;
     }
 
-    void check()
+    void checkStarts()
     {
         for (const auto &[id, history] : keys) {
             if (history.isRepeatable)
--- a/tests/auto/jobs/tst_jobs.cpp
+++ b/tests/auto/jobs/tst_jobs.cpp
@@ -1,4 +1,4 @@
-// Fault cases of requests. Each case names the rule of the design that it guards.
+// Requests under faults. Numbers such as R1 refer to the rules of the design that a test guards.
 #include "jobcluster.h"
 
 #include <base/log.h>
@@ -20,7 +20,7 @@
         Base::setLogLevel(Base::LogLevel::Error);
         startAll();
         run(5s);
-        owner = holder(SHARD);
+        owner = leaseHolder(SHARD);
         BOOST_REQUIRE(owner);
         BOOST_REQUIRE_EQUAL(owner->ownership.requiredReplicas(SHARD).size(), 2);
     }
@@ -30,16 +30,16 @@
         submit(*owner, submission);
         run(duration);
     }
-    /// Kills the owner and waits for the next one.
+    /// Kills the owner and waits until another daemon owns the shard.
     void takeOver()
     {
         kill(owner->identity.daemon);
         run(4s);
-        owner = holder(SHARD);
+        owner = leaseHolder(SHARD);
         BOOST_REQUIRE(owner);
     }
-    /// The outcome as the owner knows it; pending if there is none.
-    Jobs::Reply ask(const Jobs::Submission &submission)
+    /// Submits to the owner and returns its reply; pending if there is no outcome after 20 s.
+    Jobs::Reply submitAndWait(const Jobs::Submission &submission)
     {
         Jobs::Reply answer;
         owner->coordinator.submit(submission, 20s,
@@ -78,7 +78,8 @@
 
 } // namespace
 
-// Guards R1 and R5: an unknown start is resolved at the same worker.
+// Guards R1 and R5: if it is unknown whether a task has started, the same worker is asked, and the
+// task starts elsewhere only if that worker guarantees not to start it.
 BOOST_AUTO_TEST_CASE(startFaults)
 {
     struct Case
@@ -113,7 +114,7 @@
                 f.faultFirstStart(it.fault);
                 const auto submission = makeSubmission(kind, "k", 1);
                 f.submitAndRun(submission, 10s);
-                checkOutcome(f.ask(submission), it.expected);
+                checkOutcome(f.submitAndWait(submission), it.expected);
                 BOOST_TEST(f.starts(submission) == it.expected.starts);
                 BOOST_TEST(!f.violated);
             }
@@ -121,11 +122,12 @@
     }
 }
 
-// Guards R1 and R2: the new owner collects, awaits and starts, each task once.
+// Guards R1 and R2: after a takeover, the new owner collects results of finished tasks, awaits
+// running ones and starts the others, each task once.
 BOOST_AUTO_TEST_CASE(takeoverWithTasksInEachPhase)
 {
     Fixture f(2);
-    // Task 0 ends before the crash, task 1 after it, task 2 never leaves the old owner.
+    // Task 0 ends before the crash, task 1 after it; no start of task 2 by the old owner is sent.
     f.workers.chooseRunTime = [](const Jobs::StartOrder &order) -> Base::Duration {
         return order.task.value().ends_with("#1") ? 4s : 50ms;
     };
@@ -138,13 +140,13 @@
     BOOST_TEST(f.starts(submission, 0) == 1);
     BOOST_TEST(f.starts(submission, 2) == 0);
     f.takeOver();
-    checkOutcome(f.ask(submission), {RequestState::Complete, FailureCode::None, 1});
+    checkOutcome(f.submitAndWait(submission), {RequestState::Complete, FailureCode::None, 1});
     for (std::size_t i = 0; i < 3; ++i)
         BOOST_TEST(f.starts(submission, i) == 1);
     BOOST_TEST(!f.violated);
 }
 
-// Guards R1: an order of the old owner that arrives after the fence of the new one is refused.
+// Guards R1: a start order of the old owner that arrives after the new owner's fence is refused.
 BOOST_AUTO_TEST_CASE(lateStartOfOldOwnerIsFenced)
 {
     Fixture f(2);
@@ -153,13 +155,14 @@
     const auto submission = makeSubmission("audit", "k", 1);
     f.submitAndRun(submission, 100ms);
     f.takeOver();
-    checkOutcome(f.ask(submission), {RequestState::Complete, FailureCode::None, 1});
+    checkOutcome(f.submitAndWait(submission), {RequestState::Complete, FailureCode::None, 1});
     BOOST_TEST(f.starts(submission) == 1);
     BOOST_TEST(f.workers.staleStarts == 1);
     BOOST_TEST(!f.violated);
 }
 
-// Guards R1: a worker that can't be asked may have started what no other worker has.
+// Guards R1: a worker that is unreachable during recovery may have started a task that no other
+// worker reports, so the request fails.
 BOOST_AUTO_TEST_CASE(takeoverWithUnreachableWorkerFails)
 {
     Fixture f(2);
@@ -172,12 +175,12 @@
         break;
     }
     f.takeOver();
-    checkOutcome(f.ask(submission), {RequestState::Failed, FailureCode::WorkerLost, 0});
+    checkOutcome(f.submitAndWait(submission), {RequestState::Failed, FailureCode::WorkerLost, 0});
     BOOST_TEST(!f.violated);
 }
 
-// Guards R1 and R2: starts in flight survive a lapse that nobody used. A second start under the
-// same epoch would not be stopped by a fence.
+// Guards R1 and R2: starts in flight stay valid if the lease lapses and returns without another
+// owner. A fence would not stop a second start under the same epoch.
 BOOST_AUTO_TEST_CASE(lapsedLeaseReturnsWithStartsInFlight)
 {
     for (const StartFault fault : {StartFault::AnswerLost, StartFault::Delayed}) {
@@ -203,15 +206,16 @@
         f.run(6s);
         BOOST_REQUIRE(f.owner->ownership.holdsLease(SHARD));
         BOOST_TEST(f.owner->ownership.leasedEpoch(SHARD)->value() == 1);
-        checkOutcome(f.ask(submission), {RequestState::Complete, FailureCode::None, 1});
+        checkOutcome(f.submitAndWait(submission), {RequestState::Complete, FailureCode::None, 1});
         BOOST_TEST(f.starts(submission, 0) == 1);
         BOOST_TEST(f.starts(submission, 1) == 1);
         BOOST_TEST(!f.violated);
     }
 }
 
-// Guards R1: after a pause beyond the lease, the first thing that happens may be that a slot
-// becomes free, which must not start a task. Pauses at different times reach that order of events.
+// Guards R1: after a process pause that outlasts the lease, the first event may be that a slot
+// becomes free, which must not start a task. Pauses at different times produce that order of
+// events.
 BOOST_AUTO_TEST_CASE(noStartAfterPauseBeyondLease)
 {
     for (Base::Duration pauseAfter = 10ms; pauseAfter <= 140ms; pauseAfter += 10ms) {
@@ -224,15 +228,16 @@
         f.run(3s);
         old->timers.resume();
         f.run(5s);
-        f.owner = f.holder(SHARD);
+        f.owner = f.leaseHolder(SHARD);
         BOOST_REQUIRE(f.owner);
-        checkOutcome(f.ask(submission), {RequestState::Complete, FailureCode::None, 1});
+        checkOutcome(f.submitAndWait(submission), {RequestState::Complete, FailureCode::None, 1});
         BOOST_TEST(f.workers.staleStarts == 0);
         BOOST_TEST(!f.violated);
     }
 }
 
-// Guards R3 and R5: one key has one answer.
+// Guards R3 and R5: a resubmission before or after completion, or after a takeover, gets the first
+// outcome and starts nothing.
 BOOST_AUTO_TEST_CASE(resubmissionGetsTheSameAnswer)
 {
     for (const char *kind : {"audit", "ack"}) {
@@ -243,13 +248,13 @@
         f.submitAndRun(submission, 1s); // after it
         BOOST_TEST(f.outcomes[RequestState::Complete] == 3);
         f.takeOver();
-        checkOutcome(f.ask(submission), {RequestState::Complete, FailureCode::None, 1});
+        checkOutcome(f.submitAndWait(submission), {RequestState::Complete, FailureCode::None, 1});
         BOOST_TEST(f.starts(submission) == 1);
         BOOST_TEST(!f.violated);
     }
 }
 
-// Guards R3: a key with another body is refused without a side effect, also after a takeover.
+// Guards R3: a used key with another body is refused without side effects, also after a takeover.
 BOOST_AUTO_TEST_CASE(keyConflict)
 {
     Fixture f;
@@ -258,14 +263,14 @@
     auto other = submission;
     other.payloads = {"\"other\""};
     other.digest = Jobs::Submission::computeDigest(other.kind, other.payloads);
-    BOOST_TEST((Base::failureCode(f.ask(other).status) == FailureCode::KeyConflict));
+    BOOST_TEST((Base::failureCode(f.submitAndWait(other).status) == FailureCode::KeyConflict));
     f.takeOver();
-    BOOST_TEST((Base::failureCode(f.ask(other).status) == FailureCode::KeyConflict));
+    BOOST_TEST((Base::failureCode(f.submitAndWait(other).status) == FailureCode::KeyConflict));
     BOOST_TEST(f.starts(submission) == 1);
 }
 
-// Guards R4: the deadline means notRun only without a start.
-BOOST_AUTO_TEST_CASE(deadline)
+// Guards R4: a request that misses its deadline is notRun only if no task has started.
+BOOST_AUTO_TEST_CASE(deadlineIsNotRunOnlyWithoutStart)
 {
     for (const bool starts : {false, true}) {
         Fixture f;
@@ -276,16 +281,18 @@
             };
         const auto submission = makeSubmission("audit", "k", 1);
         f.submitAndRun(submission, 10s);
-        // Refused starts are not counted, so the last one may still be under way.
-        checkOutcome(f.ask(submission), {starts ? RequestState::Failed : RequestState::NotRun,
-                                         FailureCode::DeadlineExceeded, starts});
+        // Refused starts are not counted, so the last one may still be in flight.
+        checkOutcome(f.submitAndWait(submission),
+                     {starts ? RequestState::Failed : RequestState::NotRun,
+                      FailureCode::DeadlineExceeded, starts});
         BOOST_TEST(f.starts(submission) == (starts ? 1 : 0));
         BOOST_TEST(!f.violated);
     }
 }
 
-// Guards the cost of a wave: one stop message for each worker.
-BOOST_AUTO_TEST_CASE(cancelWave)
+// Guards against one stop message per task: cancelling many requests at once sends one message per
+// worker.
+BOOST_AUTO_TEST_CASE(cancellationsAreBatchedPerWorker)
 {
     Fixture f;
     f.workers.runTime = 5s;
@@ -301,11 +308,12 @@
     for (const auto &[id, worker] : f.workers.workers)
         BOOST_TEST(worker.stopMessages == 1);
     for (const auto &it : submissions)
-        checkOutcome(f.ask(it), {RequestState::Failed, FailureCode::Cancelled, 1});
+        checkOutcome(f.submitAndWait(it), {RequestState::Failed, FailureCode::Cancelled, 1});
     BOOST_TEST(!f.violated);
 }
 
-// Guards R1: an owner that was paused beyond its lease must not start what it accepted before.
+// Guards R1: an owner whose process was paused beyond its lease must not start requests that it
+// accepted before.
 BOOST_AUTO_TEST_CASE(replicationRefusedByNewerEpoch)
 {
     Fixture f;
@@ -314,10 +322,10 @@
     f.submit(*old, submission);
     old->timers.pause();
     f.run(4s);
-    f.owner = f.holder(SHARD);
+    f.owner = f.leaseHolder(SHARD);
     BOOST_REQUIRE(f.owner);
     BOOST_REQUIRE(f.owner != old);
-    checkOutcome(f.ask(submission), {RequestState::Complete, FailureCode::None, 1});
+    checkOutcome(f.submitAndWait(submission), {RequestState::Complete, FailureCode::None, 1});
     old->timers.resume();
     f.run(5s);
     BOOST_TEST(!old->ownership.holdsLease(SHARD));
@@ -325,8 +333,9 @@
     BOOST_TEST(!f.violated);
 }
 
-// Guards R1 and R5: without records an unknown key may be an old one.
-BOOST_AUTO_TEST_CASE(knowledgeLost)
+// Guards R1 and R5: after all records of a shard are lost, an unknown key may have run before, so
+// its request fails instead of starting.
+BOOST_AUTO_TEST_CASE(lostRecordsFailUnknownKeys)
 {
     Fixture f;
     f.workers.runTime = 2s;
@@ -337,18 +346,18 @@
         f.kill(it);
     f.startAll();
     f.run(20s);
-    f.owner = f.holder(SHARD);
+    f.owner = f.leaseHolder(SHARD);
     BOOST_REQUIRE(f.owner);
     const Expected expected{RequestState::Failed, FailureCode::KnowledgeLost, 1};
-    checkOutcome(f.ask(submission), expected);
+    checkOutcome(f.submitAndWait(submission), expected);
     f.run(5s);
-    f.takeOver(); // The next owner has complete records of an incomplete predecessor.
-    checkOutcome(f.ask(submission), expected);
-    checkOutcome(f.ask(makeSubmission("ack", "unknown", 1)), expected);
+    f.takeOver(); // The next owner holds all records of a predecessor that had lost some.
+    checkOutcome(f.submitAndWait(submission), expected);
+    checkOutcome(f.submitAndWait(makeSubmission("ack", "unknown", 1)), expected);
     BOOST_TEST(f.starts(submission) == 1);
 }
 
-// Guards R7: work in flight is finished by the new owner.
+// Guards R7: after a hand-over, the new owner finishes the tasks in flight.
 BOOST_AUTO_TEST_CASE(handOverWithWorkInFlight)
 {
     Fixture f;
@@ -361,17 +370,18 @@
     f.owner->ownership.handOver(SHARD, to, [&](const absl::Status &it) { status = it; });
     f.run(3s);
     BOOST_TEST(status.ok());
-    f.owner = f.holder(SHARD);
+    f.owner = f.leaseHolder(SHARD);
     BOOST_REQUIRE(f.owner);
     BOOST_TEST(f.owner->identity.daemon.value() == to.value());
-    checkOutcome(f.ask(submission), {RequestState::Complete, FailureCode::None, 1});
+    checkOutcome(f.submitAndWait(submission), {RequestState::Complete, FailureCode::None, 1});
     for (std::size_t i = 0; i < 3; ++i)
         BOOST_TEST(f.starts(submission, i) == 1);
     BOOST_TEST(!f.violated);
 }
 
-// Guards the bound on memory: after retention a key is new again.
-BOOST_AUTO_TEST_CASE(retentionEnds)
+// Guards the bound on memory: records are erased at the owner and at replicas after the retention
+// time.
+BOOST_AUTO_TEST_CASE(recordsExpireAfterRetention)
 {
     Fixture f;
     const auto submission = makeSubmission("audit", "k", 1);
@@ -385,14 +395,14 @@
 }
 
 // Guards R1 and R3 when a key is used again after its retention: replicas that joined late keep the
-// old outcome for longer than the owner, and must not take it for that of the new request.
+// old outcome for longer than the owner and must not report it for the new request.
 BOOST_AUTO_TEST_CASE(keyIsUsedAgainAfterRetention)
 {
     Fixture f;
     const auto submission = makeSubmission("audit", "k", 1);
     f.submitAndRun(submission, 1s);
     f.run(f.limits.retention / 2, 100ms);
-    // The replicas restart and are sent the outcome again.
+    // The replicas restart and receive the outcome again.
     for (const DaemonId &it : f.ids) {
         if (it == f.owner->identity.daemon)
             continue;
@@ -403,7 +413,7 @@
     f.run(f.limits.retention / 2, 100ms);
     BOOST_REQUIRE_EQUAL(f.owner->coordinator.store().count(), 0);
     for (auto &[id, worker] : f.workers.workers)
-        worker.tasks.clear(); // workers forget tasks sooner
+        worker.tasks.clear(); // workers drop tasks earlier than owners
     const auto other = makeSubmission("audit", "other", 1);
     auto again = submission;
     f.keys.clear();
@@ -413,13 +423,13 @@
     f.submitAndRun(again, 1s);
     BOOST_TEST(f.starts(again) == 2); // once for each use
     f.takeOver();
-    const Jobs::Reply reply = f.ask(again);
+    const Jobs::Reply reply = f.submitAndWait(again);
     BOOST_TEST(reply.status.ok());
     BOOST_TEST(Jobs::requestStateName(reply.view.state) == "complete");
 }
 
 // Guards R4 for a repeatable request that was submitted to two entry daemons: the second must not
-// say "not run" when the first has run it.
+// report notRun after the first has run it.
 BOOST_AUTO_TEST_CASE(repeatableAtTwoEntries)
 {
     Fixture f;
@@ -436,7 +446,7 @@
     BOOST_TEST(Jobs::requestStateName(answer.view.state) != "notRun");
 }
 
-// Guards against a cancellation wave that costs a message per task.
+// Guards against one stop message per task when many requests are cancelled.
 BOOST_AUTO_TEST_CASE(stopsAreBatchedPerUpstream)
 {
     TestSupport::ManualTimers timers;
--- a/tests/auto/jobs/tst_jobsrandom.cpp
+++ b/tests/auto/jobs/tst_jobsrandom.cpp
@@ -1,5 +1,5 @@
-// Randomised schedules of requests and faults over three daemons. EP_RANDOM_RUNS sets their number
-// and EP_RANDOM_SEED the first seed; a failing schedule is repeated with its seed and one run.
+// Random schedules of requests and faults on three daemons. EP_RANDOM_RUNS sets their number and
+// EP_RANDOM_SEED the first seed; to repeat a failed schedule, set its seed and one run.
 // The build defines the module for every file, but only tst_jobs.cpp may contain main().
 #undef BOOST_TEST_MODULE
 #include "jobcluster.h"
@@ -39,11 +39,11 @@
                     std::exchange(it.end, nullptr)();
                 if (!it.end && draw(20) == 0) {
                     it.endStep = step + 1 + static_cast<int>(draw(150));
-                    begin(it);
+                    startRandomFault(it);
                 }
             }
             if (draw(4) == 0)
-                callerActs();
+                sendRandomCall();
             if (draw(120) == 0)
                 handOver();
             m_cluster.run(20ms, 20ms);
@@ -52,7 +52,7 @@
             if (it.end)
                 std::exchange(it.end, nullptr)();
         }
-        settle();
+        checkOutcomes();
         return !m_cluster.violated;
     }
 
@@ -76,15 +76,15 @@
         return it == m_cluster.daemons.end() ? nullptr : it->second.get();
     }
 
-    /// A daemon that can be called: mostly the owner, since others refuse.
-    JobDaemon *drawEntry(const RequestId &id)
+    /// A running daemon to send a call to: mostly the owner, since others refuse.
+    JobDaemon *drawCalledDaemon(const RequestId &id)
     {
         JobDaemon *daemon =
-            draw(4) == 0 ? find(drawDaemon()) : m_cluster.holder(m_cluster.shardOf(id));
+            draw(4) == 0 ? find(drawDaemon()) : m_cluster.leaseHolder(m_cluster.shardOf(id));
         return daemon && !daemon->timers.isPaused() ? daemon : nullptr;
     }
 
-    void callerActs()
+    void sendRandomCall()
     {
         if (m_cluster.keys.empty() || draw(3) == 0) {
             const std::uint64_t kind = draw(5);
@@ -93,18 +93,18 @@
                 kind < 3    ? makeSubmission("audit", key, 1 + static_cast<int>(draw(6)))
                 : kind == 3 ? makeSubmission("ack", key, 1)
                             : makeSubmission("probe", key, 1);
-            if (JobDaemon *daemon = drawEntry(submission.id))
+            if (JobDaemon *daemon = drawCalledDaemon(submission.id))
                 m_cluster.submit(*daemon, submission, kind == 4);
             return;
         }
         auto it = m_cluster.keys.begin();
         std::advance(it, static_cast<std::ptrdiff_t>(draw(m_cluster.keys.size())));
-        JobDaemon *daemon = drawEntry(it->first);
+        JobDaemon *daemon = drawCalledDaemon(it->first);
         if (!daemon)
             return;
         if (draw(8) == 0) {
             daemon->coordinator.cancel(it->first, [this, id = it->first](const Jobs::Reply &reply) {
-                m_cluster.replied(id, reply);
+                m_cluster.checkReply(id, reply);
             });
             return;
         }
@@ -112,12 +112,12 @@
         m_cluster.submit(*daemon, history.submission, history.isRepeatable);
     }
 
-    void begin(Fault &fault)
+    void startRandomFault(Fault &fault)
     {
         const DaemonId id = drawDaemon();
         const DaemonId peer = drawDaemon();
         JobDaemon *daemon = find(id);
-        // Ends a fault of one process unless that process has died meanwhile.
+        // Ends a fault of one process unless that process has terminated meanwhile.
         const auto ifSameRun = [this, id, run = m_cluster.lastIncarnation](auto action) {
             return [this, id, run, action] {
                 JobDaemon *it = find(id);
@@ -196,7 +196,7 @@
     void handOver()
     {
         const ShardIndex shard(draw(m_cluster.manifest->shardsPerDomain));
-        JobDaemon *owner = m_cluster.holder(shard);
+        JobDaemon *owner = m_cluster.leaseHolder(shard);
         if (!owner || owner->timers.isPaused())
             return;
         const DaemonId to = drawDaemon();
@@ -210,12 +210,13 @@
         });
     }
 
-    /// After the faults, every key has an outcome at its owner within the longest deadline.
-    void settle()
+    /// Checks that after the faults every key has an outcome at its owner within the longest
+    /// deadline.
+    void checkOutcomes()
     {
         m_cluster.run(20s, 100ms);
         for (const auto &[id, history] : m_cluster.keys) {
-            JobDaemon *owner = m_cluster.holder(m_cluster.shardOf(id));
+            JobDaemon *owner = m_cluster.leaseHolder(m_cluster.shardOf(id));
             if (!owner) {
                 m_cluster.violation("a shard was not served again after the faults ended");
                 return;
@@ -224,7 +225,7 @@
             if (record && record->phase != Jobs::RecordPhase::Decided)
                 m_cluster.violation(fmt::format("{}: without an outcome", id.key.value()));
             owner->coordinator.query(id, 1s, [this, id = id](const Jobs::Reply &reply) {
-                m_cluster.replied(id, reply);
+                m_cluster.checkReply(id, reply);
             });
         }
         m_cluster.run(2s, 100ms);
@@ -237,10 +238,10 @@
 
 } // namespace
 
-// Guards rules R1 to R5 against combinations of two faults.
+// Guards rules R1 to R5 under combinations of two concurrent faults.
 BOOST_AUTO_TEST_CASE(randomSchedulesKeepRules)
 {
-    // The faults make warnings frequent.
+    // The faults cause many warnings.
     Base::setLogLevel(Base::LogLevel::Error);
     const std::uint64_t runs = environmentNumber("EP_RANDOM_RUNS", 3000);
     const std::uint64_t firstSeed = environmentNumber("EP_RANDOM_SEED", 1);
