--- a/src/libs/jobs/jobsconstants.h
+++ b/src/libs/jobs/jobsconstants.h
@@ -27,8 +27,7 @@
 /// per worker.
 constexpr std::chrono::milliseconds STOP_BATCH_MS{5};
 constexpr std::chrono::milliseconds RETENTION_SWEEP_MS{1000};
-/// A repeatable request is not retried after this many start attempts, each on another upstream
-/// unless that refused the start.
+/// A repeatable request is not retried after this many start attempts; refused starts count too.
 constexpr int MAX_REPEATABLE_ATTEMPTS = 4;
 /// Retry budget of repeatable tasks: the retries gained per success and per second, and their
 /// maximum balance. It prevents retries from multiplying the load when many upstreams fail.
