--- a/tests/auto/platform/tst_jobgateway.cpp
+++ b/tests/auto/platform/tst_jobgateway.cpp
@@ -1,4 +1,4 @@
-// Status codes of the callers' interface.
+// Status codes, resubmission and cancellation in the HTTP interface for callers.
 #undef BOOST_TEST_MODULE
 #include <platform/jobgateway.h>
 #include <support/manualtimers.h>
@@ -10,7 +10,7 @@
 
 namespace {
 
-class NoOwners : public Dispatch::GroupSender
+class RecordingGroupSender : public Dispatch::GroupSender
 {
 public:
     bool sendToOwner(const Dispatch::GroupId &, const Wire::Message &message) override
@@ -42,7 +42,7 @@
         load.executors.push_back({"s", "", "", 16000, 1000, 0, 16000, 100});
         directory.loadReceived(load);
     }
-    /// Status of the answer, or 0 if there is none yet.
+    /// Returns the status code of the response, or 0 if there is none yet.
     int send(const std::string &method, const std::string &target, const std::string &text = "",
              std::uint64_t connection = 1)
     {
@@ -63,8 +63,8 @@
 
     TestSupport::ManualTimers timers;
     Dispatch::GroupDirectory directory{Base::FailureDomainId("g")};
-    NoOwners owners;
-    Dispatch::JobCoordinator jobs{timers, directory, owners};
+    RecordingGroupSender sender;
+    Dispatch::JobCoordinator jobs{timers, directory, sender};
     Dispatch::QueueTable queues;
     JobGateway gateway{jobs, queues};
     std::vector<int> statuses;
@@ -79,7 +79,7 @@
 
 BOOST_AUTO_TEST_CASE(statusCodes)
 {
-    BOOST_TEST(send("POST", path, body) == 503); // no desired state yet
+    BOOST_TEST(send("POST", path, body) == 503); // desired state not received yet
     apply();
     BOOST_TEST(send("POST", "/other/5c0e7a21d94b36f8", body) == 404);
     BOOST_TEST(send("POST", "/q/short", body) == 404);
@@ -93,10 +93,10 @@
     addExecutor();
     BOOST_TEST(send("POST", path, R"({"phases":[{"count":1}]})") == 503); // stored jobs
     BOOST_TEST(send("POST", path, body) == 0);
-    BOOST_TEST(owners.messages.size() == 1U);
+    BOOST_TEST(sender.messages.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(bothCallersOfOneJobAreAnswered)
+BOOST_AUTO_TEST_CASE(remainingCallerOfAJobIsAnswered)
 {
     apply();
     addExecutor();
@@ -110,33 +110,34 @@
     BOOST_TEST(statuses.back() == 200);
 }
 
-// A caller that reuses an id by mistake must not change the job that runs under it.
+// Guards against a running job being changed by a caller that reuses its id by mistake.
 BOOST_AUTO_TEST_CASE(sameIdWithAnotherBodyIsTheSameJob)
 {
     apply();
     addExecutor();
     send("POST", path, body, 1);
-    const std::size_t sent = owners.messages.size();
+    const std::size_t sent = sender.messages.size();
     send("POST", path, R"({"spec":"other","phases":[{"count":9,"cpu":1}],"bestEffort":true})", 2);
     send("POST", path, "{", 3);
     BOOST_TEST(jobs.jobCount() == 1U);
-    BOOST_TEST(owners.messages.size() == sent);
+    BOOST_TEST(sender.messages.size() == sent);
     jobs.reportsReceived({"g", 1, "5c0e7a21d94b36f8", {{0, 0, 0, 1, 1, "x"}}});
     BOOST_TEST(statuses == std::vector<int>({200, 200, 200}), boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(jobOfALostCallerIsCancelled)
+BOOST_AUTO_TEST_CASE(jobOfADisconnectedCallerIsCancelled)
 {
     apply();
     addExecutor();
     send("POST", path, body, 1);
     gateway.connectionClosed(1);
     BOOST_TEST(jobs.jobCount() == 0U);
-    BOOST_TEST(std::holds_alternative<Wire::StopJob>(owners.messages.back()));
+    BOOST_TEST(std::holds_alternative<Wire::StopJob>(sender.messages.back()));
 }
 
-// Nothing is held back: the answer comes at the deadline, and says whether anything may have run.
-BOOST_AUTO_TEST_CASE(deadlineIsAnswered)
+// Guards against a response that is held back beyond the job's deadline. The response also states
+// whether any task may have run.
+BOOST_AUTO_TEST_CASE(deadlineIsReported)
 {
     apply();
     addExecutor();
--- a/tests/auto/platform/tst_platform.cpp
+++ b/tests/auto/platform/tst_platform.cpp
@@ -1,4 +1,4 @@
-// Decoding of the platform's formats, with input that is broken in all ways that a writer may.
+// Decoding of the platform's formats, also with malformed input from other writers.
 #include <platform/executorcodec.h>
 #include <platform/jobcodec.h>
 #include <platform/platformsettings.h>
@@ -40,8 +40,9 @@
     BOOST_TEST(executor->lifetime.value() == 1767266036033U);
 }
 
-// Other writers leave rows that name no executor; the others must still hold.
-BOOST_AUTO_TEST_CASE(foreignRowsAreIgnored)
+// Other writers leave rows that are not valid registrations. They are skipped, and all other rows
+// must still be decoded.
+BOOST_AUTO_TEST_CASE(malformedRegistrationsAreRejected)
 {
     BOOST_TEST(!decodeExecutor("i", "").has_value());
     BOOST_TEST(!decodeExecutor("i", "\xff\xfe\x00").has_value());
@@ -65,7 +66,8 @@
     BOOST_TEST(decodeExecutor("i", row.dump())->kind == "b");
 }
 
-// Parsing every row at every renewal took most of the processor time of an idle daemon.
+// Guards against parsing every row at every renewal, which took most of the CPU time of an idle
+// daemon.
 BOOST_AUTO_TEST_CASE(renewedRegistrationsAreNotParsedAgain)
 {
     RegistrationDecoder decoder;
@@ -84,7 +86,7 @@
     row["state"] = "draining";
     BOOST_TEST(renew(20)->draining);
     BOOST_TEST(decoder.parsedCount() == 2U);
-    // A row that is removed and written again is a new one.
+    // A row that is removed and written again is parsed again.
     decoder.retain({});
     BOOST_TEST(renew(21)->draining);
     BOOST_TEST(decoder.parsedCount() == 3U);
@@ -147,26 +149,26 @@
         BOOST_TEST(!decodeTaskName(it).has_value(), it);
 }
 
-BOOST_AUTO_TEST_CASE(orderAnswers)
+BOOST_AUTO_TEST_CASE(orderResponses)
 {
     using Dispatch::OrderOutcome;
     using Dispatch::RefusalReason;
-    BOOST_TEST((decodeOrderAnswer(200, R"({"clockMs":482113})").clock->count() == 482113));
+    BOOST_TEST((decodeOrderResponse(200, R"({"clockMs":482113})").clock->count() == 482113));
     const std::pair<const char *, RefusalReason> reasons[] = {{"fence", RefusalReason::Fenced},
                                                               {"old", RefusalReason::OldRun},
                                                               {"late", RefusalReason::LeaseExpired},
                                                               {"room", RefusalReason::NoRoom},
                                                               {"ticket", RefusalReason::Other}};
     for (const auto &[name, reason] : reasons) {
-        const auto result = decodeOrderAnswer(409, json({{"reason", name}}).dump());
+        const auto result = decodeOrderResponse(409, json({{"reason", name}}).dump());
         BOOST_TEST((result.outcome == OrderOutcome::Refused));
         BOOST_TEST((result.refusal == reason), name);
     }
-    BOOST_TEST((decodeOrderAnswer(421, "").outcome == OrderOutcome::OtherLifetime));
-    BOOST_TEST((decodeOrderAnswer(503, "").outcome == OrderOutcome::Unhealthy));
-    BOOST_TEST((decodeOrderAnswer(429, "{").outcome == OrderOutcome::Unhealthy));
-    // Nothing is known of an answer that the platform does not give.
-    BOOST_TEST((decodeOrderAnswer(500, "").outcome == OrderOutcome::Unknown));
+    BOOST_TEST((decodeOrderResponse(421, "").outcome == OrderOutcome::OtherLifetime));
+    BOOST_TEST((decodeOrderResponse(503, "").outcome == OrderOutcome::Unhealthy));
+    BOOST_TEST((decodeOrderResponse(429, "{").outcome == OrderOutcome::Unhealthy));
+    // A status code that the platform does not define leaves the outcome unknown.
+    BOOST_TEST((decodeOrderResponse(500, "").outcome == OrderOutcome::Unknown));
 }
 
 BOOST_AUTO_TEST_CASE(listing)
@@ -179,7 +181,7 @@
                         {{59, name + "9", 1, "failed", ""},
                          {58, name + "8", 1, "done", ""},
                          {60, name + "7", 1, "vanished", ""}}}};
-    const auto result = decodeHoldAnswer(200, body.dump());
+    const auto result = decodeHoldResponse(200, body.dump());
     BOOST_TEST(result.lifetime.value() == 9U);
     BOOST_REQUIRE(result.running.size() == 1U);
     BOOST_TEST(result.running[0].run.value() == 2U);
@@ -227,7 +229,7 @@
             {"count":4,"cpu":500,"memMb":256,"estimateMs":900,"affinity":"r1-3"},
             {"count":20,"cpu":2000,"estimateMs":7000,"after":[0],"maxPerServer":2}]})");
     BOOST_REQUIRE(job.has_value());
-    BOOST_TEST(job->isAnsweredAtEnd);
+    BOOST_TEST(job->isBestEffort);
     BOOST_TEST(job->unsupported.empty());
     BOOST_TEST(job->spec.steps.size() == 2U);
     BOOST_TEST(job->spec.steps[0].preferredRack == "r1-3");
@@ -287,25 +289,25 @@
 
 BOOST_AUTO_TEST_SUITE(settings)
 
-static const char *const GOOD = R"({
+static const char *const VALID_SETTINGS = R"({
   "daemon": "edge-1", "failureDomain": "center", "address": "10.1.0.13", "peerPort": 7720,
   "operatorPort": 7721, "callers": "10.1.0.13:8161", "readiness": "10.1.0.13:8167",
   "store": "10.200.1.7:8169", "orders": "invocation", "graceSeconds": 6, "leaseMs": 1000 })";
 
-BOOST_AUTO_TEST_CASE(goodSettings)
+BOOST_AUTO_TEST_CASE(validSettings)
 {
     Settings::FaultList faults;
-    const auto parsed = parsePlatformSettings(GOOD, faults);
+    const auto parsed = parsePlatformSettings(VALID_SETTINGS, faults);
     BOOST_REQUIRE(parsed.has_value());
     BOOST_TEST(parsed->store.port == 8169);
     BOOST_TEST(parsed->daemon.peerEndpoint.port == 7720);
     BOOST_TEST((parsed->grace == 6s));
 }
 
-// Faults are all reported at once, each with its place.
-BOOST_AUTO_TEST_CASE(faultySettings)
+// All faults are reported at once, each with its path.
+BOOST_AUTO_TEST_CASE(invalidSettings)
 {
-    json document = json::parse(GOOD);
+    json document = json::parse(VALID_SETTINGS);
     document["store"] = "nowhere";
     document["callers"] = "10.1.0.13:0";
     document["orders"] = "heartbeat";
