--- a/src/libs/storage/membershipsource.h
+++ b/src/libs/storage/membershipsource.h
@@ -1,4 +1,4 @@
-// Interface of the platform's lagging membership list.
+// Interface to the platform's membership list, which may be out of date.
 #pragma once
 
 #include <absl/status/status.h>
@@ -11,7 +11,7 @@
 
 enum class HostState { Live, Leaving, Dead };
 
-/// One host of the list. Hosts are named as in the manifest's upstreams or by daemon id.
+/// An entry of the list. Hosts are named as in the manifest's upstreams, or by daemon id.
 struct HostEntry
 {
     std::string host;
--- a/src/libs/storage/shardrow.cpp
+++ b/src/libs/storage/shardrow.cpp
@@ -1,4 +1,4 @@
-// JSON form of a shard row.
+// JSON encoding of shard rows.
 #include "shardrow.h"
 
 #include <fmt/format.h>
--- a/src/libs/storage/shardrow.h
+++ b/src/libs/storage/shardrow.h
@@ -1,4 +1,4 @@
-// The table row that states who owns a shard and who may take it over.
+// The table row that names a shard's owner and the daemons that may take the shard over.
 #pragma once
 
 #include <base/ids.h>
@@ -33,7 +33,7 @@
 
 std::string shardRowKey(const Base::ShardId &shard);
 std::string encodeShardRow(const ShardRow &row);
-/// Returns nothing for text that is not a shard row.
+/// Returns std::nullopt if \a text is not a valid shard row.
 std::optional<ShardRow> decodeShardRow(std::string_view text);
 
 } // namespace Storage
--- a/src/libs/storage/table.h
+++ b/src/libs/storage/table.h
@@ -11,12 +11,12 @@
 
 namespace Storage {
 
-/// A row as read from the table. Versions grow by one with each write; 0 means that no row exists.
+/// A row as read from the table. Each write increments the version; 0 means that no row exists.
 struct Row
 {
     std::string value;
     std::uint64_t version = 0;
-    /// Transaction id of the write that made this version.
+    /// Transaction id of the write that created this version.
     std::string transaction;
 };
 
@@ -30,7 +30,7 @@
     std::string transaction;
 };
 
-/// The transactional table. Callbacks run on the loop, never from within the call.
+/// The transactional table. Callbacks run on the event loop, never from within the call.
 class Table
 {
 public:
@@ -39,12 +39,12 @@
 
     virtual ~Table() = default;
 
-    /// A row that does not exist is read as version 0 with status OK.
+    /// For a row that does not exist, the status is OK and the version 0.
     /// Errors: platformUnavailable.
     virtual void read(std::string_view key, ReadCallback callback) = 0;
-    /// Errors: versionMismatch (certainly not written), platformUnavailable (certainly not
-    /// written), fateUnknown (may be written now or later; resolve by reading or by repeating the
-    /// write under the same transaction).
+    /// Errors: versionMismatch (not written), platformUnavailable (not written), fateUnknown (may
+    /// have been written, or may be later; resolve by reading the row or by repeating the write
+    /// under the same transaction id).
     virtual void compareAndSet(ConditionalWrite write, WriteCallback callback) = 0;
 };
 
--- a/src/libs/storage/tablefeed.h
+++ b/src/libs/storage/tablefeed.h
@@ -1,4 +1,4 @@
-// Reading a table of the store and following its changes.
+// Interface for reading a table of the store and following its changes.
 #pragma once
 
 #include <base/ids.h>
@@ -11,7 +11,7 @@
 
 namespace Storage {
 
-/// Version of the whole store; rises with each transaction.
+/// Version of the whole store; each transaction increases it.
 using StoreVersion = Base::Number<struct StoreVersionTag>;
 
 struct TableRow
@@ -24,8 +24,8 @@
 
 enum class FeedStatus {
     Ok,
-    HistoryGone, ///< Changes after the given version are not available any more.
-    Unavailable, ///< No answer, or a refusal.
+    HistoryGone, ///< Changes after the given version are no longer available.
+    Unavailable, ///< No response, or an error status.
 };
 
 struct FeedResult
@@ -42,7 +42,7 @@
 
     virtual ~TableFeed() = default;
 
-    /// All rows of \a table as of one moment, which may lie in the past.
+    /// Reads all rows of \a table as of one version of the store, which may be out of date.
     virtual void readAll(const std::string &table, Callback callback) = 0;
     /// Waits up to \a wait for rows that changed after \a after.
     virtual void awaitChanges(const std::string &table, StoreVersion after, Base::Duration wait,
--- a/src/libs/storage/tablefollower.cpp
+++ b/src/libs/storage/tablefollower.cpp
@@ -1,4 +1,4 @@
-// Snapshot, changes, retries and protection against stale reads.
+// Snapshots, changes, retries and protection against stale reads.
 #include "tablefollower.h"
 
 #include <base/log.h>
@@ -17,8 +17,8 @@
     , m_table(std::move(table))
     , m_timing(timing)
     , m_changed(std::move(changed))
-    , m_pause(timing.retry)
-    , m_lastAnswer(timers.now())
+    , m_retryDelay(timing.retryDelay)
+    , m_lastResponse(timers.now())
 {}
 
 TableFollower::~TableFollower()
@@ -28,51 +28,53 @@
 
 void TableFollower::start()
 {
-    read();
+    readSnapshot();
 }
 
 Base::Duration TableFollower::age() const
 {
-    return m_timers.now() - m_lastAnswer;
+    return m_timers.now() - m_lastResponse;
 }
 
-void TableFollower::succeeded()
+void TableFollower::recordSuccess()
 {
-    m_pause = m_timing.retry;
-    m_lastAnswer = m_timers.now();
-    if (std::exchange(m_isLost, false))
-        Base::log(LogLevel::Info, "storeRegained", {{"table", m_table}, {"version", m_newest}});
+    m_retryDelay = m_timing.retryDelay;
+    m_lastResponse = m_timers.now();
+    if (std::exchange(m_isUnavailable, false))
+        Base::log(LogLevel::Info, "storeRegained",
+                  {{"table", m_table}, {"version", m_newestVersion}});
 }
 
-void TableFollower::retry(bool readAgain)
+void TableFollower::scheduleRetry(bool needsSnapshot)
 {
-    if (!std::exchange(m_isLost, true))
-        Base::log(LogLevel::Warning, "storeLost", {{"table", m_table}, {"version", m_newest}});
-    m_timers.schedule(m_pause, [this, alive = m_isAlive, readAgain] {
+    if (!std::exchange(m_isUnavailable, true))
+        Base::log(LogLevel::Warning, "storeLost",
+                  {{"table", m_table}, {"version", m_newestVersion}});
+    m_timers.schedule(m_retryDelay, [this, alive = m_isAlive, needsSnapshot] {
         if (!*alive)
             return;
-        if (readAgain)
-            read();
+        if (needsSnapshot)
+            readSnapshot();
         else
-            await();
+            awaitChanges();
     });
-    m_pause = std::min<Base::Duration>(m_pause * 2, m_timing.maxRetry);
+    m_retryDelay = std::min<Base::Duration>(m_retryDelay * 2, m_timing.maxRetryDelay);
 }
 
 bool TableFollower::merge(const TableRow &row)
 {
-    m_newest = std::max(m_newest, row.version);
-    const auto removed = m_removed.find(row.key);
-    if (removed != m_removed.end() && removed->second >= row.version)
+    m_newestVersion = std::max(m_newestVersion, row.version);
+    const auto removed = m_removedVersions.find(row.key);
+    if (removed != m_removedVersions.end() && removed->second >= row.version)
         return false;
     const auto known = m_rows.find(row.key);
     if (known != m_rows.end() && known->second.version >= row.version)
         return false;
     if (row.isRemoved) {
-        m_removed[row.key] = row.version;
+        m_removedVersions[row.key] = row.version;
         return m_rows.erase(row.key) > 0;
     }
-    m_removed.erase(row.key);
+    m_removedVersions.erase(row.key);
     m_rows[row.key] = row;
     return true;
 }
@@ -85,10 +87,10 @@
         listed.emplace(it.key, it.version);
         isChanged |= merge(it);
     }
-    // A row that is missing has been removed, unless the snapshot is older than the row.
+    // A row that is not listed has been removed, unless the snapshot is older than the row.
     for (auto it = m_rows.begin(); it != m_rows.end();) {
         if (!listed.contains(it->first) && it->second.version <= result.version) {
-            m_removed[it->first] = result.version;
+            m_removedVersions[it->first] = result.version;
             it = m_rows.erase(it);
             isChanged = true;
         } else {
@@ -98,67 +100,70 @@
     return isChanged;
 }
 
-void TableFollower::read()
+void TableFollower::readSnapshot()
 {
     m_feed.readAll(m_table, [this, alive = m_isAlive](const FeedResult &result) {
         if (!*alive)
             return;
         if (result.status != FeedStatus::Ok) {
-            retry(true);
+            scheduleRetry(true);
             return;
         }
-        if (result.version < m_newest)
-            Base::log(LogLevel::Warning, "staleRead",
-                      {{"table", m_table}, {"version", result.version}, {"known", m_newest}});
-        m_newest = std::max(m_newest, result.version);
-        succeeded();
-        const bool isFirst = !std::exchange(m_isRead, true);
-        // Following a stale snapshot from its own version brings what it lacks.
+        if (result.version < m_newestVersion)
+            Base::log(
+                LogLevel::Warning, "staleRead",
+                {{"table", m_table}, {"version", result.version}, {"known", m_newestVersion}});
+        m_newestVersion = std::max(m_newestVersion, result.version);
+        recordSuccess();
+        const bool isFirst = !std::exchange(m_hasSnapshot, true);
+        // Following the changes from a stale snapshot's own version delivers what the snapshot
+        // lacks.
         m_position = result.version;
         const bool isChanged = mergeSnapshot(result);
         if (isFirst || isChanged)
             m_changed();
-        await();
+        awaitChanges();
     });
 }
 
-void TableFollower::awaitAfter(Base::Duration pause)
+void TableFollower::awaitChangesAfter(Base::Duration delay)
 {
-    if (pause.count() == 0) {
-        await();
+    if (delay.count() == 0) {
+        awaitChanges();
         return;
     }
-    m_timers.schedule(pause, [this, alive = m_isAlive] {
+    m_timers.schedule(delay, [this, alive = m_isAlive] {
         if (*alive)
-            await();
+            awaitChanges();
     });
 }
 
-void TableFollower::await()
+void TableFollower::awaitChanges()
 {
     m_feed.awaitChanges(
-        m_table, m_position, m_timing.wait, [this, alive = m_isAlive](const FeedResult &result) {
+        m_table, m_position, m_timing.maxWait, [this, alive = m_isAlive](const FeedResult &result) {
             if (!*alive)
                 return;
             if (result.status == FeedStatus::HistoryGone) {
                 Base::log(LogLevel::Info, "historyGone",
                           {{"table", m_table}, {"position", m_position}});
-                read();
+                readSnapshot();
                 return;
             }
             if (result.status != FeedStatus::Ok) {
-                retry(false);
+                scheduleRetry(false);
                 return;
             }
-            succeeded();
+            recordSuccess();
             m_position = std::max(m_position, result.version);
-            m_newest = std::max(m_newest, result.version);
+            m_newestVersion = std::max(m_newestVersion, result.version);
             bool isChanged = false;
             for (const TableRow &it : result.rows)
                 isChanged |= merge(it);
             if (isChanged)
                 m_changed();
-            awaitAfter(result.rows.empty() ? Base::Duration(0) : Base::Duration(m_timing.gather));
+            awaitChangesAfter(result.rows.empty() ? Base::Duration(0)
+                                                  : Base::Duration(m_timing.coalesceDelay));
         });
 }
 
--- a/src/libs/storage/tablefollower.h
+++ b/src/libs/storage/tablefollower.h
@@ -1,4 +1,4 @@
-// Keeps a copy of one table.
+// Keeps a local copy of one table.
 #pragma once
 
 #include "tablefeed.h"
@@ -10,39 +10,40 @@
 
 struct FollowTiming
 {
-    /// Longest wait for a change. A silent connection is noticed soon after it.
-    std::chrono::milliseconds wait{2000};
-    /// Pause after changes, in which further ones gather: each call to the store is paid for.
-    std::chrono::milliseconds gather{0};
-    std::chrono::milliseconds retry{100};    // after a failure
-    std::chrono::milliseconds maxRetry{500}; // the pause doubles up to this
+    /// Longest wait for a change. A broken connection is detected soon after this time.
+    std::chrono::milliseconds maxWait{2000};
+    /// Delay after changes in which further changes are coalesced: each store request is paid for.
+    std::chrono::milliseconds coalesceDelay{0};
+    std::chrono::milliseconds retryDelay{100};    // after a failure
+    std::chrono::milliseconds maxRetryDelay{500}; // the delay doubles up to this
 };
 
-/// Reads the table once and follows its changes; reads it again when the history is lost. No row
-/// ever goes back to an earlier version, whatever the store answers.
+/// Reads a snapshot of the table and follows the changes; reads a new snapshot when the store no
+/// longer has the changes. Rows never revert to an earlier version, even after a stale read.
 class TableFollower
 {
 public:
     using ChangeCallback = std::function<void()>;
 
-    /// \a changed is called after each change and after the first reading.
+    /// \a changed is called after the first snapshot and after each change.
     TableFollower(TableFeed &feed, Base::Timers &timers, std::string table, FollowTiming timing,
                   ChangeCallback changed);
     ~TableFollower();
 
     void start();
-    bool isRead() const { return m_isRead; }
-    /// Time since the store last answered; counts from start() before the first answer.
+    bool hasSnapshot() const { return m_hasSnapshot; }
+    /// Time since the last successful response of the store, or since construction if there is
+    /// none.
     Base::Duration age() const;
-    /// Rows that are there, by key.
+    /// The existing rows, by key.
     const std::map<std::string, TableRow> &rows() const { return m_rows; }
 
 private:
-    void read();
-    void await();
-    void awaitAfter(Base::Duration pause);
-    void retry(bool readAgain);
-    void succeeded();
+    void readSnapshot();
+    void awaitChanges();
+    void awaitChangesAfter(Base::Duration delay);
+    void scheduleRetry(bool needsSnapshot);
+    void recordSuccess();
     bool merge(const TableRow &row);
     bool mergeSnapshot(const FeedResult &result);
 
@@ -53,13 +54,14 @@
     const ChangeCallback m_changed;
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
     std::map<std::string, TableRow> m_rows;
-    std::map<std::string, StoreVersion> m_removed; // newest removal of rows that are not there
-    StoreVersion m_position;                       // changes up to this are in m_rows
-    StoreVersion m_newest;                         // highest version that any answer stated
-    bool m_isRead = false;
-    bool m_isLost = false; // the last call failed
-    Base::Duration m_pause{0};
-    Base::TimePoint m_lastAnswer;
+    /// Versions of the latest removals, by key, for rows that do not exist now.
+    std::map<std::string, StoreVersion> m_removedVersions;
+    StoreVersion m_position;      // changes up to this version are in m_rows
+    StoreVersion m_newestVersion; // highest version in any response
+    bool m_hasSnapshot = false;
+    bool m_isUnavailable = false; // the last request failed
+    Base::Duration m_retryDelay{0};
+    Base::TimePoint m_lastResponse;
 };
 
 } // namespace Storage
--- a/tests/auto/storage/tst_storage.cpp
+++ b/tests/auto/storage/tst_storage.cpp
@@ -1,4 +1,4 @@
-// The copy of a table under outages, stale reads and lost history.
+// The local copy of a table during outages, after stale reads and after lost history.
 #include <storage/tablefollower.h>
 #include <support/manualtimers.h>
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Answers when the test says so.
+/// Keeps requests pending until the test responds to them.
 class FakeFeed : public TableFeed
 {
 public:
@@ -27,7 +27,7 @@
         lastAfter = after;
         pending.push_back(std::move(callback));
     }
-    void answer(const FeedResult &result)
+    void respond(const FeedResult &result)
     {
         BOOST_REQUIRE(!pending.empty());
         const Callback callback = std::move(pending.front());
@@ -58,7 +58,7 @@
     TestSupport::ManualTimers timers;
     FakeFeed feed;
     int changes = 0;
-    TableFollower follower{feed, timers, "table", {.gather = 500ms}, [this] { ++changes; }};
+    TableFollower follower{feed, timers, "table", {.coalesceDelay = 500ms}, [this] { ++changes; }};
 };
 
 } // namespace
@@ -67,68 +67,68 @@
 
 BOOST_AUTO_TEST_CASE(readsThenFollows)
 {
-    feed.answer(ok({row("a", "1", 3)}, 5));
-    BOOST_TEST(follower.isRead());
+    feed.respond(ok({row("a", "1", 3)}, 5));
+    BOOST_TEST(follower.hasSnapshot());
     BOOST_TEST(feed.lastAfter.value() == 5U);
-    feed.answer(ok({row("a", "2", 6), row("b", "1", 7)}, 7));
+    feed.respond(ok({row("a", "2", 6), row("b", "1", 7)}, 7));
     BOOST_TEST(follower.rows().at("a").value == "2");
     BOOST_TEST(follower.rows().size() == 2U);
     BOOST_TEST(changes == 2);
 }
 
-// Each call to the store is paid for: changes gather before the next one.
-BOOST_AUTO_TEST_CASE(pausesAfterChanges)
+// Each store request is paid for, so changes are coalesced before the next one.
+BOOST_AUTO_TEST_CASE(changesAreCoalesced)
 {
-    feed.answer(ok({}, 5));
-    feed.answer(ok({row("a", "1", 6)}, 6));
+    feed.respond(ok({}, 5));
+    feed.respond(ok({row("a", "1", 6)}, 6));
     BOOST_TEST(feed.waits == 1);
     timers.advance(499ms);
     BOOST_TEST(feed.waits == 1);
     timers.advance(1ms);
     BOOST_TEST(feed.waits == 2);
-    feed.answer(ok({}, 6)); // a wait without a change is followed by the next at once
+    feed.respond(ok({}, 6)); // after a response without changes the next request follows at once
     BOOST_TEST(feed.waits == 3);
 }
 
-// After the history is gone a read may be seconds old. No row goes back, and none that was removed
-// comes back.
+// Guards against a stale snapshot, which may be seconds old when it replaces a lost history: no row
+// may revert to an older version, and no removed row may reappear.
 BOOST_AUTO_TEST_CASE(staleReadChangesNothing)
 {
-    feed.answer(ok({row("a", "old", 3), row("gone", "x", 2)}, 5));
-    feed.answer(ok({row("a", "new", 8), row("gone", "", 9, true), row("fresh", "y", 10)}, 10));
+    feed.respond(ok({row("a", "old", 3), row("gone", "x", 2)}, 5));
+    feed.respond(ok({row("a", "new", 8), row("gone", "", 9, true), row("fresh", "y", 10)}, 10));
     timers.advance(500ms);
-    feed.answer({FeedStatus::HistoryGone, {}, {}});
+    feed.respond({FeedStatus::HistoryGone, {}, {}});
     BOOST_TEST(feed.reads == 2);
-    feed.answer(ok({row("a", "old", 3), row("gone", "x", 2)}, 6));
+    feed.respond(ok({row("a", "old", 3), row("gone", "x", 2)}, 6));
     BOOST_TEST(follower.rows().at("a").value == "new");
     BOOST_TEST(!follower.rows().contains("gone"));
     BOOST_TEST(follower.rows().contains("fresh"));
-    // Following goes on from the old version, so that nothing between is missed.
+    // Following continues from the older version, so that no change in between is missed.
     BOOST_TEST(feed.lastAfter.value() == 6U);
 }
 
 BOOST_AUTO_TEST_CASE(rowMissingFromANewerSnapshotIsRemoved)
 {
-    feed.answer(ok({row("a", "1", 3)}, 5));
-    feed.answer({FeedStatus::HistoryGone, {}, {}});
-    feed.answer(ok({}, 9));
+    feed.respond(ok({row("a", "1", 3)}, 5));
+    feed.respond({FeedStatus::HistoryGone, {}, {}});
+    feed.respond(ok({}, 9));
     BOOST_TEST(follower.rows().empty());
     BOOST_TEST(changes == 2);
 }
 
-BOOST_AUTO_TEST_CASE(outageIsRetriedWithGrowingPauses)
+BOOST_AUTO_TEST_CASE(outageIsRetriedWithBackoff)
 {
-    feed.answer({});
+    feed.respond({});
     BOOST_TEST(feed.reads == 1);
     timers.advance(100ms);
     BOOST_TEST(feed.reads == 2);
-    feed.answer({});
+    feed.respond({});
     timers.advance(100ms);
     BOOST_TEST(feed.reads == 2);
     timers.advance(100ms);
     BOOST_TEST(feed.reads == 3);
     BOOST_TEST((follower.age() >= 300ms));
-    feed.answer(ok({}, 1));
+    feed.respond(ok({}, 1));
     BOOST_TEST((follower.age() == 0ms));
 }
 
