--- a/src/plugins/dispatchservice/dispatchservice.cpp
+++ b/src/plugins/dispatchservice/dispatchservice.cpp
@@ -1,4 +1,4 @@
-// Life cycle and metrics of the dispatch.
+// Life cycle and metrics of the dispatcher.
 #include "dispatchservice.h"
 
 #include <base/failure.h>
@@ -33,17 +33,17 @@
     const auto add = [&metrics](const char *name, const char *help, auto value) {
         metrics.setGauge(name, help, [value] { return static_cast<double>(value()); });
     };
-    add("endivepath_jobs_active", "Jobs that are held now.",
+    add("endivepath_jobs_active", "Jobs in progress.",
         [this] { return m_node->jobs().jobCount(); });
     add("endivepath_jobs_completed", "Jobs answered as completed.",
         [this] { return m_node->jobs().counters().completed; });
     add("endivepath_jobs_failed", "Jobs answered as failed.",
         [this] { return m_node->jobs().counters().failed; });
-    add("endivepath_jobs_rejected", "Jobs rejected before any start.",
+    add("endivepath_jobs_rejected", "Jobs rejected before any task was started.",
         [this] { return m_node->jobs().counters().rejected; });
-    add("endivepath_jobs_timed_out", "Jobs without a result in time.",
+    add("endivepath_jobs_timed_out", "Jobs without a result at their deadline.",
         [this] { return m_node->jobs().counters().timedOut; });
-    add("endivepath_jobs_abandoned", "Jobs whose caller left.",
+    add("endivepath_jobs_abandoned", "Jobs cancelled by their caller or because it disconnected.",
         [this] { return m_node->jobs().counters().cancelled; });
     const auto sum = [this](auto member) {
         return [this, member] {
@@ -53,15 +53,15 @@
             return n;
         };
     };
-    add("endivepath_groups_owned", "Groups of executors that this daemon orders.",
+    add("endivepath_groups_owned", "Executor groups that this daemon owns.",
         [this] { return m_node->ownedGroups().size(); });
-    add("endivepath_group_queued_tasks", "Tasks that wait in the owned groups.",
+    add("endivepath_group_queued_tasks", "Tasks queued in the owned groups.",
         sum([](const auto &group) { return group.queuedCount(); }));
     add("endivepath_group_runs", "Runs on the executors of the owned groups.",
         sum([](const auto &group) { return group.runCount(); }));
-    add("endivepath_group_starts", "Starts sent by the owned groups.",
+    add("endivepath_group_starts", "Task starts sent by the owned groups.",
         sum([](const auto &group) { return group.counters().starts; }));
-    add("endivepath_group_unresolved_starts", "Starts without an answer.",
+    add("endivepath_group_unresolved_starts", "Task starts whose outcome was unknown.",
         sum([](const auto &group) { return group.counters().unresolvedStarts; }));
     add("endivepath_group_runs_lost", "Runs that ended without a result.",
         sum([](const auto &group) { return group.counters().lost; }));
--- a/src/plugins/dispatchservice/dispatchservice.h
+++ b/src/plugins/dispatchservice/dispatchservice.h
@@ -1,4 +1,4 @@
-// Runs the dispatch as a service of the daemon.
+// Runs the dispatcher as a service of the daemon.
 #pragma once
 
 #include <dispatch/dispatchnode.h>
