--- a/src/app/endivepathd/daemon.cpp
+++ b/src/app/endivepathd/daemon.cpp
@@ -1,4 +1,4 @@
-// Services of the daemon and their order.
+// Start order of the daemon's services, signals and drain.
 #include "daemon.h"
 
 #include "incarnation.h"
@@ -44,7 +44,7 @@
     add(Names::CLUSTER, std::make_unique<Cluster::ClusterView>(m_runtime));
     add(Names::MEMBERSHIP, std::make_unique<Membership::MembershipService>(m_runtime));
     add(Names::UPSTREAM_CLIENT, std::make_unique<UpstreamClient::UpstreamClientService>(m_runtime));
-    // The router drains after the jobs: its callers are answered by the shards' new owners.
+    // The router drains after the jobs, so that the shards' new owners can answer its callers.
     add(Names::REQUEST_ROUTER, std::make_unique<CallerGateway::RequestRouter>(m_runtime));
     add(Names::OWNERSHIP, std::make_unique<OwnershipService::OwnershipServiceImpl>(m_runtime));
     add(Names::JOBS,
@@ -97,7 +97,7 @@
     Base::log(Base::LogLevel::Info, "drainStarted", {});
     m_telemetry->record({.type = EventLog::EventType::DrainStarted});
     m_registry.drainAll([this] {
-        // Answers that were just given must still leave the sockets.
+        // Leaves time for the last responses to be written to their sockets.
         m_timers.schedule(std::chrono::milliseconds(100), [this] { m_io.stop(); });
     });
 }
--- a/src/app/endivepathd/daemon.h
+++ b/src/app/endivepathd/daemon.h
@@ -1,4 +1,4 @@
-// One endivepathd: its loop, its services and its shutdown.
+// The endivepathd process: event loop, services and shutdown.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -11,13 +11,13 @@
 
 namespace Daemon {
 
-/// Wires the services together and runs them until a signal ends the daemon.
+/// Creates the services and runs them until the daemon is shut down.
 class DaemonProcess
 {
 public:
     explicit DaemonProcess(Settings::DaemonSettings settings);
 
-    /// Runs until drained after SIGTERM or SIGINT. A second signal ends it at once.
+    /// Runs until SIGTERM or SIGINT, then drains and returns. A second signal stops it at once.
     absl::Status run();
 
 private:
--- a/src/app/endivepathd/incarnation.cpp
+++ b/src/app/endivepathd/incarnation.cpp
@@ -1,4 +1,4 @@
-// Incarnations from the wall clock.
+// Derives incarnations from the wall clock.
 #include "incarnation.h"
 
 #include <chrono>
--- a/src/app/endivepathd/incarnation.h
+++ b/src/app/endivepathd/incarnation.h
@@ -1,11 +1,12 @@
-// Tells the runs of one daemon id apart.
+// Distinguishes successive processes with the same daemon id.
 #pragma once
 
 #include <base/ids.h>
 
 namespace Daemon {
 
-/// Hosts keep nothing, so the wall clock tells a restarted daemon from its earlier runs.
+/// Hosts have no persistent storage, so the wall clock distinguishes a restarted daemon from its
+/// predecessors.
 Base::Incarnation makeIncarnation();
 
 } // namespace Daemon
--- a/src/app/endivepathd/main.cpp
+++ b/src/app/endivepathd/main.cpp
@@ -43,7 +43,7 @@
     return EXIT_OK;
 }
 
-/// Names the settings file on the users' platform.
+/// Environment variable with the path of the settings file on the users' platform.
 static constexpr char SETTINGS_VARIABLE[] = "ENDIVEPATH_SETTINGS";
 
 static int runOnPlatform(std::string path, bool isCheckOnly)
@@ -87,7 +87,7 @@
                                  arguments.count("check") > 0);
         }
         if (arguments.count("settings") == 0) {
-            std::cerr << "endivepathd: --settings FILE is needed; see --help\n";
+            std::cerr << "endivepathd: --settings FILE is required; see --help\n";
             return EXIT_USAGE;
         }
         return run(arguments["settings"].as<std::string>(), arguments.count("check") > 0);
--- a/src/app/endivepathd/platformdaemon.cpp
+++ b/src/app/endivepathd/platformdaemon.cpp
@@ -1,4 +1,4 @@
-// Services of the daemon on the users' platform and their order.
+// Start order of the services on the users' platform, signals, reload and drain.
 #include "platformdaemon.h"
 
 #include "incarnation.h"
@@ -19,21 +19,21 @@
 
 namespace Daemon {
 
-/// Connections of all daemons to one executor are bounded to 64; a daemon needs one for a listing
-/// that waits and a few for orders.
+/// An executor accepts at most 64 connections from all daemons together. A daemon needs one for a
+/// pending listing and a few for orders.
 static constexpr long MAX_CONNECTIONS_PER_EXECUTOR = 12;
-/// Three feeds and the writes.
+/// One for each of the three feeds, and some for writes.
 static constexpr long MAX_STORE_CONNECTIONS = 6;
-/// Enough for the last seconds; the hosts have little memory.
+/// Covers the last few seconds; the hosts have little memory.
 static constexpr std::size_t EVENT_CAPACITY = 1000;
 
 static PeerLink::LinkOptions linkOptions()
 {
     PeerLink::LinkOptions options;
     options.reconnect = std::chrono::milliseconds(100);
-    // A packet that is lost in a cut is sent again after 1 s; a new connection is faster.
+    // A packet lost in a network partition is retransmitted after 1 s; reconnecting is faster.
     options.dialLimit = std::chrono::milliseconds(400);
-    // State messages come every 100 ms, or 300 ms in a large deployment.
+    // State messages are sent every 100 ms, or every 300 ms in a large deployment.
     options.silenceLimit = std::chrono::milliseconds(800);
     options.writeLimit = std::chrono::milliseconds(1000);
     options.acceptUnlisted = true;
@@ -118,8 +118,8 @@
 
 void PlatformDaemon::reload()
 {
-    // Addresses and identity hold for the life of the process; what may change comes from the
-    // store.
+    // Addresses and identity are fixed for the lifetime of the process; everything that may change
+    // comes from the store. The file is only validated.
     const bool isValid = readPlatformSettings(m_settingsPath).has_value();
     Base::log(Base::LogLevel::Info, "settingsReloaded", {{"valid", isValid ? 1 : 0}});
 }
@@ -130,7 +130,7 @@
         return;
     Base::log(Base::LogLevel::Info, "drainStarted", {});
     m_registry.drainAll([this] {
-        // Answers that were just given must still leave the sockets.
+        // Leaves time for the last responses to be written to their sockets.
         m_timers.schedule(std::chrono::milliseconds(100), [this] { m_io.stop(); });
     });
 }
--- a/src/app/endivepathd/platformdaemon.h
+++ b/src/app/endivepathd/platformdaemon.h
@@ -1,4 +1,4 @@
-// One endivepathd on the users' platform: its loop, its services and its shutdown.
+// The endivepathd process on the users' platform: event loop, services and shutdown.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -12,14 +12,15 @@
 
 namespace Daemon {
 
-/// Wires the services together and runs them until a signal ends the daemon.
+/// Creates the services and runs them until the daemon is shut down.
 class PlatformDaemon
 {
 public:
-    /// \a settingsPath is read again, and checked, when the platform says that it has changed.
+    /// The file at \a settingsPath is read again and validated on SIGHUP, with which the platform
+    /// announces a change.
     PlatformDaemon(Platform::PlatformSettings settings, std::string settingsPath);
 
-    /// Runs until drained after SIGTERM or SIGINT. A second signal ends it at once.
+    /// Runs until SIGTERM or SIGINT, then drains and returns. A second signal stops it at once.
     absl::Status run();
 
 private:
@@ -41,7 +42,7 @@
     bool m_isDraining = false;
 };
 
-/// Reads and checks the settings at \a path; prints the faults to standard error.
+/// Reads and validates the settings at \a path. Prints the faults to standard error.
 std::optional<Platform::PlatformSettings> readPlatformSettings(const std::string &path);
 
 } // namespace Daemon
