--- a/src/libs/storage/tablefollower.cpp
+++ b/src/libs/storage/tablefollower.cpp
@@ -41,15 +41,13 @@
     m_retryDelay = m_timing.retryDelay;
     m_lastResponse = m_timers.now();
     if (std::exchange(m_isUnavailable, false))
-        Base::log(LogLevel::Info, "storeRegained",
-                  {{"table", m_table}, {"version", m_newestVersion}});
+        Base::log(LogLevel::Info, "storeRegained", {{"table", m_table}, {"version", m_newest}});
 }
 
 void TableFollower::scheduleRetry(bool needsSnapshot)
 {
     if (!std::exchange(m_isUnavailable, true))
-        Base::log(LogLevel::Warning, "storeLost",
-                  {{"table", m_table}, {"version", m_newestVersion}});
+        Base::log(LogLevel::Warning, "storeLost", {{"table", m_table}, {"version", m_newest}});
     m_timers.schedule(m_retryDelay, [this, alive = m_isAlive, needsSnapshot] {
         if (!*alive)
             return;
@@ -63,7 +61,7 @@
 
 bool TableFollower::merge(const TableRow &row)
 {
-    m_newestVersion = std::max(m_newestVersion, row.version);
+    m_newest = std::max(m_newest, row.version);
     const auto removed = m_removedVersions.find(row.key);
     if (removed != m_removedVersions.end() && removed->second >= row.version)
         return false;
@@ -109,11 +107,10 @@
             scheduleRetry(true);
             return;
         }
-        if (result.version < m_newestVersion)
-            Base::log(
-                LogLevel::Warning, "staleRead",
-                {{"table", m_table}, {"version", result.version}, {"known", m_newestVersion}});
-        m_newestVersion = std::max(m_newestVersion, result.version);
+        if (result.version < m_newest)
+            Base::log(LogLevel::Warning, "staleRead",
+                      {{"table", m_table}, {"version", result.version}, {"known", m_newest}});
+        m_newest = std::max(m_newest, result.version);
         recordSuccess();
         const bool isFirst = !std::exchange(m_hasSnapshot, true);
         // Following the changes from a stale snapshot's own version delivers what the snapshot
@@ -156,7 +153,7 @@
             }
             recordSuccess();
             m_position = std::max(m_position, result.version);
-            m_newestVersion = std::max(m_newestVersion, result.version);
+            m_newest = std::max(m_newest, result.version);
             bool isChanged = false;
             for (const TableRow &it : result.rows)
                 isChanged |= merge(it);
