--- a/src/libs/wire/codec.cpp
+++ b/src/libs/wire/codec.cpp
@@ -65,7 +65,8 @@
     return n;
 }
 
-/// Stops the parser where a frame declares more items than its bound, before they are allocated.
+/// Stops the parser when a frame declares more items or deeper nesting than allowed, before
+/// anything is allocated for them.
 class ItemCounter : public msgpack::null_visitor
 {
 public:
@@ -102,7 +103,7 @@
             return makeFailure(FailureCode::BadRequest, "trailing bytes in frame");
         const msgpack::object &object = handle.get();
         if (object.type != msgpack::type::ARRAY || object.via.array.size != 2)
-            return makeFailure(FailureCode::BadRequest, "frame is not a pair");
+            return makeFailure(FailureCode::BadRequest, "frame is not a [type, message] array");
         const auto type = object.via.array.ptr[0].as<std::uint32_t>();
         if (!convertMessage(type, object.via.array.ptr[1], message))
             return makeFailure(FailureCode::BadRequest, "unknown message type");
--- a/src/libs/wire/codec.h
+++ b/src/libs/wire/codec.h
@@ -1,5 +1,5 @@
-// Encodes messages into frames and decodes frames that arrive in pieces. A frame is a 4-byte
-// big-endian length followed by a msgpack array [type, message].
+// Encodes messages as frames and decodes frames from a byte stream. A frame is a 4-byte big-endian
+// length followed by a msgpack array [type, message].
 #pragma once
 
 #include "messages.h"
@@ -24,7 +24,7 @@
     explicit FrameDecoder(std::size_t maxFrameBytes);
 
     void append(std::string_view bytes);
-    /// Extracts the next whole message into \a message, which stays empty if none is complete.
+    /// Extracts the next message into \a message, which is left empty if none is complete.
     /// Errors: tooLarge, badRequest. After an error the stream is unusable.
     absl::Status next(std::optional<Message> &message);
 
--- a/src/libs/wire/messages.h
+++ b/src/libs/wire/messages.h
@@ -1,5 +1,6 @@
-// Messages between daemons. Each is a msgpack array; a frame holds the message's type number and
-// the message. Unknown types are rejected, so all daemons of a deployment run compatible versions.
+// Messages between daemons. Each is a msgpack array; a frame holds the type number of a message and
+// the message itself. Unknown types are rejected, so all daemons of a deployment have to run
+// compatible versions.
 #pragma once
 
 #include <base/ids.h>
@@ -70,7 +71,7 @@
     std::vector<std::string> records; // encoded by the jobs library
     bool snapshot = false;            // the records are part of a copy of the whole shard
     bool snapshotEnd = false;         // the last part of that copy
-    std::uint64_t incompleteMs = 0;   // how long the owner still does not know all earlier keys
+    std::uint64_t incompleteMs = 0;   // for how long the owner still lacks some earlier keys
 
     MSGPACK_DEFINE(shard, epoch, sequence, records, snapshot, snapshotEnd, incompleteMs)
 };
@@ -85,7 +86,7 @@
     MSGPACK_DEFINE(shard, epoch, sequence, accepted)
 };
 
-/// Asks a replica to take over a shard that its owner has written to it in the table.
+/// Asks a replica to take over a shard that its owner has assigned to it in the table.
 struct HandOver
 {
     std::uint64_t shard = 0;
@@ -96,7 +97,7 @@
 
 enum class ForwardOperation : std::uint8_t { Submit = 0, Status = 1, Cancel = 2, Tickets = 3 };
 
-/// A caller's request, from the entry daemon to the home of the request.
+/// A caller's request, from the daemon that received it to the home of the request.
 struct Forward
 {
     std::uint64_t correlation = 0;
@@ -128,7 +129,7 @@
     std::uint64_t slots = 0;
     std::uint64_t durationMs = 0;
     bool returned = false;
-    std::uint64_t sequence = 0; // unique among all requests of the borrower, also over restarts
+    std::uint64_t sequence = 0; // unique among all requests of the borrower, also across restarts
 
     MSGPACK_DEFINE(upstream, slots, durationMs, returned, sequence)
 };
@@ -148,7 +149,7 @@
     MSGPACK_DEFINE(revision, body)
 };
 
-/// A claim to order the executors of a group, as its sender knows it.
+/// A claim to the ownership of a group of executors, as known to the sender.
 struct GroupClaim
 {
     std::string group;
@@ -163,7 +164,7 @@
 struct DispatchState
 {
     bool draining = false;
-    std::uint64_t heardAgoMs = 0; // since the sender heard from the recipient
+    std::uint64_t heardAgoMs = 0; // since the sender last heard from the recipient
     std::uint64_t connection = 0; // how often the sender has connected to the recipient
     std::uint64_t dropped = 0;    // how often the sender dropped the recipient's tasks as lost
     std::uint32_t capacity = 0;   // processor of the sender's host, thousandths of a core
@@ -172,23 +173,23 @@
     MSGPACK_DEFINE(draining, heardAgoMs, connection, dropped, capacity, claims)
 };
 
-/// Free room of one executor.
+/// Free resources of one executor.
 struct ExecutorLoad
 {
     std::string service;
     std::string rack;
-    std::string kind; // label of the executor's kind
+    std::string kind; // label that tasks may require
     std::uint32_t freeCpuMillis = 0;
     std::uint32_t freeMemoryMb = 0;
     std::uint32_t freeGpus = 0;
-    std::uint32_t cpuMillis = 0;      // whole capacity
+    std::uint32_t cpuMillis = 0;      // total capacity
     std::uint32_t speedPercent = 100; // relative to the mean executor
 
     MSGPACK_DEFINE(service, rack, kind, freeCpuMillis, freeMemoryMb, freeGpus, cpuMillis,
                    speedPercent)
 };
 
-/// Work that waits in a group for one service and priority.
+/// Queued work of a group for one service and priority.
 struct QueueLoad
 {
     std::string service;
@@ -198,7 +199,7 @@
     MSGPACK_DEFINE(service, priority, cpuMillisSeconds)
 };
 
-/// Load of a group, from its owner to all daemons. A report replaces the one before.
+/// Load of a group, from its owner to all daemons. Each report replaces the previous one.
 struct GroupLoad
 {
     std::string group;
@@ -215,13 +216,13 @@
 {
     std::uint32_t index = 0;
     std::uint64_t minRun = 1;    // the lowest run number that may be used
-    bool mayHaveStarted = false; // an earlier owner of the group may have started it
+    bool mayHaveStarted = false; // a previous owner of the group may have started it
     std::string executor;        // where it was last reported as started; may be empty
 
     MSGPACK_DEFINE(index, minRun, mayHaveStarted, executor)
 };
 
-/// Tasks of one step, from the daemon that holds the job to the owner of a group.
+/// Tasks of one step, from the coordinator of the job to the owner of a group.
 struct TaskBatch
 {
     std::string group;
@@ -237,11 +238,11 @@
     std::uint32_t gpus = 0;
     std::uint64_t estimateMs = 0;
     std::uint64_t objectiveMs = 0; // left until the job's objective; 0 if it has passed
-    std::uint64_t deadlineMs = 0;  // left until nobody waits for the job
+    std::uint64_t deadlineMs = 0;  // left until no caller waits for the job
     std::uint64_t ageMs = 0;       // since the job was accepted
     std::string requiredLabel;
     std::string rack;                 // preferred
-    std::uint32_t maxPerExecutor = 0; // 0: no bound
+    std::uint32_t maxPerExecutor = 0; // 0: no limit
     std::vector<BatchTask> tasks;
 
     MSGPACK_DEFINE(group, sequence, job, occurrence, step, payload, service, priority, cpuMillis,
@@ -269,7 +270,7 @@
     MSGPACK_DEFINE(occurrence, step, index, run, state, executor)
 };
 
-/// What became of tasks of one job, from the owner of a group to the daemon that holds the job.
+/// State changes of tasks of one job, from the owner of a group to the coordinator of the job.
 struct TaskReports
 {
     std::string group;
@@ -280,7 +281,7 @@
     MSGPACK_DEFINE(group, batchesSeen, job, reports)
 };
 
-/// Drops the waiting tasks of a job and stops its running ones.
+/// Drops the queued tasks of a job and stops the running ones.
 struct StopJob
 {
     std::string group;
@@ -289,7 +290,7 @@
     MSGPACK_DEFINE(group, job)
 };
 
-/// An executor that the owner of a group orders.
+/// An executor that the owner of a group controls.
 struct GroupMember
 {
     std::string id;
@@ -314,7 +315,7 @@
     MSGPACK_DEFINE(group, token, members)
 };
 
-/// The order of the alternatives is the type number on the wire; append only.
+/// The index of an alternative is its type number on the wire: append only.
 using Message =
     std::variant<Hello, Heartbeat, LeaseRequest, LeasePromise, Replicate, ReplicateAck, HandOver,
                  Forward, ForwardReply, SlotLoan, ManifestFetch, ManifestBody, DispatchState,
--- a/src/libs/wire/peerport.h
+++ b/src/libs/wire/peerport.h
@@ -1,4 +1,4 @@
-// How the parts of a daemon send messages to other daemons.
+// Interfaces for sending messages to other daemons and for receiving them.
 #pragma once
 
 #include "messages.h"
@@ -20,13 +20,13 @@
 public:
     virtual ~PeerPort() = default;
 
-    /// Queues \a message for \a peer. Messages may be lost, never altered; between two losses they
-    /// arrive in order. Returns false if there is no connection or its send queue is full, and then
-    /// the message is certainly not sent.
+    /// Queues \a message for \a peer. Messages may be lost but are never altered; between two
+    /// losses they arrive in order. Returns false if there is no connection or its send queue is
+    /// full; the message is then certainly not sent.
     virtual bool send(const Base::DaemonId &peer, const Message &message) = 0;
     /// Whether a connection to \a peer is up.
     virtual bool isConnected(const Base::DaemonId &peer) const = 0;
-    /// Opens the connection to \a peer anew, since what is sent on it does not arrive.
+    /// Replaces the connection to a peer when messages sent on it do not arrive.
     virtual void resetConnection(const Base::DaemonId &) {}
 };
 
@@ -37,7 +37,7 @@
     virtual ~PeerListener() = default;
 
     virtual void peerMessageReceived(const PeerIdentity &from, const Message &message) = 0;
-    /// Messages to the peer can be sent from now on. Earlier ones may have been lost.
+    /// From now on messages can be sent to the peer. Earlier ones may have been lost.
     virtual void peerConnected(const PeerIdentity &) {}
     virtual void peerDisconnected(const PeerIdentity &) {}
 };
--- a/tests/auto/wire/tst_wire.cpp
+++ b/tests/auto/wire/tst_wire.cpp
@@ -1,5 +1,5 @@
-// Tests of the frame codec, with seeded random frames. EP_FUZZ_SEED in the environment replaces the
-// seed.
+// Tests of the frame codec, with random frames from a fixed seed. The environment variable
+// EP_FUZZ_SEED overrides the seed.
 #include <base/failure.h>
 #include <wire/codec.h>
 #include <wire/wireconstants.h>
@@ -19,8 +19,8 @@
     return text ? std::strtoull(text, nullptr, 10) : 20261204;
 }
 
-// One overload per number of members. The bindings do not compile if a member is added, and the
-// member lists of MSGPACK_DEFINE are not used, so that a member missing there is found.
+// One branch per number of members. The structured bindings do not compile if a member is added,
+// and the member lists of MSGPACK_DEFINE are not used, so that a member missing there is detected.
 template<std::size_t N, class T>
 static auto fields(T &m)
 {
@@ -54,9 +54,10 @@
     }
 }
 
-// Numbers of members in the order of the variant.
-static constexpr std::size_t MEMBERS[] = {5, 6, 1, 2, 7, 4, 2, 7, 4, 5, 1, 2, 6, 5, 19, 4, 2, 3};
-static_assert(std::size(MEMBERS) == std::variant_size_v<Message>);
+// Number of members of each message, in the order of the variant.
+static constexpr std::size_t MEMBER_COUNTS[] = {5, 6, 1, 2, 7, 4,  2, 7, 4,
+                                                5, 1, 2, 6, 5, 19, 4, 2, 3};
+static_assert(std::size(MEMBER_COUNTS) == std::variant_size_v<Message>);
 
 class Generator
 {
@@ -82,15 +83,15 @@
     template<std::size_t I>
     void fill(std::size_t type, Message &message)
     {
-        if constexpr (I < std::size(MEMBERS)) {
+        if constexpr (I < std::size(MEMBER_COUNTS)) {
             if (type != I)
                 return fill<I + 1>(type, message);
             std::apply([this](auto &...member) { (set(member), ...); },
-                       fields<MEMBERS[I]>(message.emplace<I>()));
+                       fields<MEMBER_COUNTS[I]>(message.emplace<I>()));
         }
     }
 
-    // Small and large numbers, because msgpack encodes them in different sizes.
+    // Both small and large numbers, since msgpack encodes them in different sizes.
     template<std::unsigned_integral T>
     void set(T &value)
     {
@@ -151,10 +152,10 @@
 template<std::size_t I = 0>
 static bool isEqual(const Message &a, const Message &b)
 {
-    if constexpr (I < std::size(MEMBERS)) {
+    if constexpr (I < std::size(MEMBER_COUNTS)) {
         if (a.index() != I || b.index() != I)
             return a.index() == b.index() && isEqual<I + 1>(a, b);
-        return fields<MEMBERS[I]>(std::get<I>(a)) == fields<MEMBERS[I]>(std::get<I>(b));
+        return fields<MEMBER_COUNTS[I]>(std::get<I>(a)) == fields<MEMBER_COUNTS[I]>(std::get<I>(b));
     }
     return false;
 }
@@ -167,7 +168,8 @@
     return frame.append(payload);
 }
 
-/// Decodes one frame. An error must persist, so that a link can't go on in the middle of a frame.
+/// Decodes one frame. An error must persist, so that a connection does not continue in the middle
+/// of a frame.
 static FailureCode decode(std::string_view frame, std::optional<Message> &message)
 {
     FrameDecoder decoder(Constants::MAX_FRAME_BYTES);
@@ -188,12 +190,12 @@
     return decode(frame, message);
 }
 
-// Guards against members that are lost, swapped or cut on the way.
-BOOST_AUTO_TEST_CASE(everyMessageTypeSurvives)
+// Guards against members that are lost, swapped or truncated by encoding and decoding.
+BOOST_AUTO_TEST_CASE(everyMessageTypeRoundTrips)
 {
     Generator generator;
-    for (std::size_t i = 0; i < 200 * std::size(MEMBERS); ++i) {
-        const Message sent = generator.message(i % std::size(MEMBERS));
+    for (std::size_t i = 0; i < 200 * std::size(MEMBER_COUNTS); ++i) {
+        const Message sent = generator.message(i % std::size(MEMBER_COUNTS));
         std::optional<Message> received;
         BOOST_TEST((decode(encodeFrame(sent), received) == FailureCode::None));
         BOOST_REQUIRE(received.has_value());
@@ -201,13 +203,13 @@
     }
 }
 
-// Guards against a decoder that depends on how TCP cuts the stream.
+// Guards against a decoder that depends on how TCP splits the stream.
 BOOST_AUTO_TEST_CASE(framesMayBeSplitAnywhere)
 {
     Generator generator;
     std::vector<Message> sent;
     std::string stream;
-    for (std::size_t i = 0; i < std::size(MEMBERS); ++i) {
+    for (std::size_t i = 0; i < std::size(MEMBER_COUNTS); ++i) {
         Message message = generator.message(i);
         std::string frame = encodeFrame(message);
         if (frame.size() > 1000) // keeps the number of splits small
@@ -234,13 +236,13 @@
         check(step, step);
 }
 
-// Guards against a truncated message that is taken for a whole one, and against one that waits
-// forever although its frame is complete.
+// Guards against a truncated message that is accepted as complete, and against a decoder that waits
+// for more bytes although the frame is complete.
 BOOST_AUTO_TEST_CASE(truncatedMessagesAreRefused)
 {
     Generator generator;
-    for (std::size_t i = 0; i < 5 * std::size(MEMBERS); ++i) {
-        const std::string frame = encodeFrame(generator.message(i % std::size(MEMBERS)));
+    for (std::size_t i = 0; i < 5 * std::size(MEMBER_COUNTS); ++i) {
+        const std::string frame = encodeFrame(generator.message(i % std::size(MEMBER_COUNTS)));
         const std::string_view payload =
             std::string_view(frame).substr(Constants::FRAME_HEADER_BYTES);
         const std::size_t step = 1 + payload.size() / 500;
@@ -267,17 +269,18 @@
     return result;
 }
 
-// Guards against hostile frames that crash the daemon, exhaust its memory or pass for a message.
+// Guards against hostile frames that crash the daemon, exhaust its memory or are accepted as a
+// message.
 BOOST_AUTO_TEST_CASE(hostileFramesGiveTypedFailures)
 {
     using namespace std::string_literals;
-    // 100 lists of 60,000 numbers each, hidden behind the one member of a LeaseRequest.
+    // 100 arrays of 60,000 numbers each, after the only member of a LeaseRequest.
     const std::string manyItems = "\x92\x02\x92\x01\xdc\x00\x64"s
                                   + repeated("\xdc\xea\x60"s + std::string(60'000, '\0'), 100);
     const std::pair<std::string, FailureCode> rows[] = {
         {frameOf(""), FailureCode::BadRequest},
         {frameOf("\xc1"), FailureCode::BadRequest}, // not used by msgpack
-        {frameOf("\x02"), FailureCode::BadRequest}, // not a pair
+        {frameOf("\x02"), FailureCode::BadRequest}, // not an array of two
         {frameOf("\x90"), FailureCode::BadRequest},
         {frameOf("\x91\x02"), FailureCode::BadRequest},
         {frameOf("\x93\x02\x91\x01\x01"), FailureCode::BadRequest},
@@ -302,13 +305,13 @@
         {frameOf(manyItems), FailureCode::BadRequest},
         {"\xff\xff\xff\xff", FailureCode::TooLarge},
         {"\x01\x00\x00\x01"s, FailureCode::TooLarge}, // one byte over the limit
-        {"\x01\x00\x00\x00"s, FailureCode::None},     // on the limit; waits for the rest
+        {"\x01\x00\x00\x00"s, FailureCode::None},     // at the limit; waits for the rest
     };
     for (std::size_t i = 0; i < std::size(rows); ++i)
         BOOST_TEST((decode(rows[i].first) == rows[i].second), "row " << i);
 }
 
-// Guards against the hostile frames nobody thought of.
+// Guards against hostile frames that the table above does not cover.
 BOOST_AUTO_TEST_CASE(randomFramesNeverCrash)
 {
     Generator generator;
@@ -317,11 +320,11 @@
         std::string payload;
         if (i % 3 == 0) {
             payload = generator.text(60);
-        } else if (i % 3 == 1) { // arbitrary values behind a valid beginning
+        } else if (i % 3 == 1) { // arbitrary values after a valid prefix
             payload = "\x92" + std::string(1, static_cast<char>(generator.below(13)))
                       + static_cast<char>(0x90 + generator.below(9)) + generator.text(60);
         } else { // a valid message with some bytes changed, inserted or removed
-            payload = encodeFrame(generator.message(generator.below(std::size(MEMBERS))));
+            payload = encodeFrame(generator.message(generator.below(std::size(MEMBER_COUNTS))));
             payload.erase(0, Constants::FRAME_HEADER_BYTES);
             for (std::uint64_t n = generator.below(4); n < 4 && !payload.empty(); ++n) {
                 const std::size_t at = generator.below(std::min<std::size_t>(payload.size(), 200));
@@ -335,17 +338,17 @@
         }
         std::optional<Message> message;
         const FailureCode code = decode(frameOf(payload), message);
-        BOOST_TEST_CONTEXT("seed " << seed() << " turn " << i)
+        BOOST_TEST_CONTEXT("seed " << seed() << " iteration " << i)
         {
             BOOST_REQUIRE((code == FailureCode::None || code == FailureCode::BadRequest));
             BOOST_REQUIRE(message.has_value() == (code == FailureCode::None));
         }
-        if (message) { // what was accepted is a message that can be sent on
+        if (message) { // an accepted message can be encoded again
             ++accepted;
             std::optional<Message> again;
             BOOST_REQUIRE((decode(encodeFrame(*message), again) == FailureCode::None));
             BOOST_REQUIRE(isEqual(*message, *again));
         }
     }
-    BOOST_TEST(accepted > 0); // otherwise the frames are too far from valid ones
+    BOOST_TEST(accepted > 0); // otherwise the frames differ too much from valid ones
 }
