--- a/src/libs/dispatch/dispatchnode.cpp
+++ b/src/libs/dispatch/dispatchnode.cpp
@@ -104,7 +104,7 @@
     std::vector<ExecutorInfo> executors = m_executors[id];
     const std::set<ExecutorId> known = idsOf(executors);
     const auto members = m_members.find(id);
-    const bool isFresh = m_timers.now() - group.claimed() < Constants::CLAIM_MEMBERS_MS;
+    const bool isFresh = m_timers.now() - group.claimed() < Constants::PREVIOUS_MEMBERS_MS;
     if (members != m_members.end() && isFresh) {
         for (const Wire::GroupMember &it : members->second.members) {
             if (known.contains(ExecutorId(it.id)))
--- a/src/libs/dispatch/executorgroup.cpp
+++ b/src/libs/dispatch/executorgroup.cpp
@@ -1,4 +1,4 @@
-// Submission, placement, orders and listings of a group.
+// Submission and placement of tasks, orders to executors, and their listings.
 #include "executorgroup.h"
 
 #include "dispatchconstants.h"
@@ -15,13 +15,14 @@
 using Base::LogLevel;
 using Wire::TaskReportState;
 
-/// Queued tasks looked at for each placement; bounds its cost when thousands wait.
+/// Queued tasks considered in each placement; limits its cost when thousands are queued.
 static constexpr std::size_t MAX_PLACEMENT_SCAN = 256;
-/// Weight of the newest run in the bias of the estimates of one priority.
+/// Weight of the latest run in the bias of the estimates of one priority.
 static constexpr double BIAS_NEWEST_WEIGHT = 0.02;
-/// Speeds that differ by less count as equal, and the fuller executor is taken.
+/// Speeds that differ by a smaller factor count as equal; then the fuller executor is chosen.
 static constexpr double SPEED_TOLERANCE = 1.1;
-/// Speed outside of the preferred rack, relative to that inside; the data is fetched from there.
+/// Speed outside the preferred rack, relative to that inside: the data has to be fetched from
+/// there.
 static constexpr double OTHER_RACK_SPEED = 0.5;
 
 ExecutorGroup::ExecutorGroup(GroupId group, FencingToken token, Base::Timers &timers,
@@ -41,10 +42,10 @@
     *m_isAlive = false;
 }
 
-ExecutorLedger *ExecutorGroup::ledger(const ExecutorId &id)
+ExecutorState *ExecutorGroup::findExecutor(const ExecutorId &id)
 {
-    const auto it = m_ledgers.find(id);
-    return it == m_ledgers.end() ? nullptr : &it->second;
+    const auto it = m_executors.find(id);
+    return it == m_executors.end() ? nullptr : &it->second;
 }
 
 void ExecutorGroup::fence()
@@ -57,7 +58,7 @@
 std::size_t ExecutorGroup::runCount() const
 {
     std::size_t n = 0;
-    for (const auto &[id, executor] : m_ledgers)
+    for (const auto &[id, executor] : m_executors)
         n += executor.runs().size();
     return n;
 }
@@ -66,53 +67,53 @@
                                  Base::TimePoint changed)
 {
     m_listChanged = changed;
-    for (auto &[id, executor] : m_ledgers)
+    for (auto &[id, executor] : m_executors)
         executor.isRegistered = false;
     for (const ExecutorInfo &it : executors) {
-        ExecutorLedger *known = ledger(it.id);
+        ExecutorState *known = findExecutor(it.id);
         if (!known) {
-            known = &m_ledgers.emplace(it.id, ExecutorLedger(it)).first->second;
+            known = &m_executors.emplace(it.id, ExecutorState(it)).first->second;
         } else {
             if (it.lifetime > known->lifetime())
-                lifetimeEnded(*known, it.lifetime);
+                executorRestarted(*known, it.lifetime);
             known->setInfo(it);
         }
         known->isRegistered = true;
-        if (!known->isLooked && !known->isLookPending)
+        if (!known->hasListing && !known->isImmediateHoldPending)
             hold(*known, true);
     }
-    std::erase_if(m_ledgers, [](const auto &it) {
+    std::erase_if(m_executors, [](const auto &it) {
         return !it.second.isRegistered && it.second.runs().empty();
     });
     ++m_loadVersion;
     placeQueued();
 }
 
-void ExecutorGroup::submit(const Base::DaemonId &from, const Wire::TaskBatch &batch)
+void ExecutorGroup::submit(const Base::DaemonId &from, const Wire::TaskBatch &message)
 {
     flushReports();
-    m_batchesSeen[from] = std::max(m_batchesSeen[from], batch.sequence);
-    auto order = std::make_shared<Order>();
-    order->batch = batch;
-    order->batch.tasks.clear();
-    order->shape = {batch.cpuMillis, batch.memoryMb, batch.gpus};
+    m_batchesSeen[from] = std::max(m_batchesSeen[from], message.sequence);
+    auto batch = std::make_shared<BatchInfo>();
+    batch->message = message;
+    batch->message.tasks.clear();
+    batch->shape = {message.cpuMillis, message.memoryMb, message.gpus};
     const Base::TimePoint now = m_timers.now();
-    order->estimate = std::chrono::milliseconds(std::max<std::uint64_t>(1, batch.estimateMs));
-    order->objective = now + std::chrono::milliseconds(batch.objectiveMs);
-    order->deadline = now + std::chrono::milliseconds(batch.deadlineMs);
-    for (const Wire::BatchTask &it : batch.tasks)
-        submitTask(from, order, it);
-    changed();
+    batch->estimate = std::chrono::milliseconds(std::max<std::uint64_t>(1, message.estimateMs));
+    batch->objective = now + std::chrono::milliseconds(message.objectiveMs);
+    batch->deadline = now + std::chrono::milliseconds(message.deadlineMs);
+    for (const Wire::BatchTask &it : message.tasks)
+        submitTask(from, batch, it);
+    loadChanged();
     placeQueued();
 }
 
 void ExecutorGroup::submitTask(const Base::DaemonId &from,
-                               const std::shared_ptr<const Order> &order,
+                               const std::shared_ptr<const BatchInfo> &batch,
                                const Wire::BatchTask &entry)
 {
-    const TaskId id{JobId(order->batch.job), order->batch.occurrence, order->batch.step,
+    const TaskId id{JobId(batch->message.job), batch->message.occurrence, batch->message.step,
                     entry.index};
-    if (attachTask(from, order, id, entry.minRun) || reportKnownEnd(from, id, entry))
+    if (attachTask(from, batch, id, entry.minRun) || reportKnownEnd(from, id, entry))
         return;
     std::uint64_t nextRun = entry.minRun;
     const auto ended = m_ended.find(id);
@@ -120,15 +121,15 @@
         nextRun = std::max(nextRun, ended->second.run.value() + 1);
     Task task;
     task.coordinator = from;
-    task.order = order;
+    task.batch = batch;
     task.nextRun = nextRun;
     if (claimFoundRun(id, task))
         return;
     Task &added = m_tasks.emplace(id, std::move(task)).first->second;
-    if (entry.mayHaveStarted && !isFateKnown(ExecutorId(entry.executor))) {
-        added.state = TaskState::AwaitingLook;
+    if (entry.mayHaveStarted && !isCertainlyNotRunning(ExecutorId(entry.executor))) {
+        added.state = TaskState::AwaitingListing;
         added.executor = ExecutorId(entry.executor);
-        m_awaitingLook.insert(id);
+        m_awaitingListing.insert(id);
         return;
     }
     enqueue(id, added);
@@ -150,15 +151,16 @@
     return TaskReportState::Lost;
 }
 
-/// A claim may cross the report of the run's end. Starting the task again would then run it twice,
-/// since the coordinator may have sent it elsewhere on that report.
+/// Answers a submission with the end of the run if that is known. A submission that claims the task
+/// may cross the report of the run's end. Starting the task again would then run it twice, since
+/// the coordinator may have sent it elsewhere on that report.
 bool ExecutorGroup::reportKnownEnd(const Base::DaemonId &from, const TaskId &id,
                                    const Wire::BatchTask &entry)
 {
     const auto it = m_ended.find(id);
     if (it == m_ended.end() || it->second.run.value() < entry.minRun)
         return false;
-    // A job that came again may have had a run of the same number elsewhere.
+    // A job that was submitted again may have had a run of the same number elsewhere.
     if (!entry.executor.empty() && it->second.executor.value() != entry.executor)
         return false;
     const TaskReportState state = reportStateOf(it->second.end);
@@ -171,7 +173,7 @@
 }
 
 bool ExecutorGroup::attachTask(const Base::DaemonId &from,
-                               const std::shared_ptr<const Order> &order, const TaskId &id,
+                               const std::shared_ptr<const BatchInfo> &batch, const TaskId &id,
                                std::uint64_t minRun)
 {
     const auto it = m_tasks.find(id);
@@ -183,30 +185,30 @@
                   {{"task", toString(id)}, {"from", task.coordinator}, {"to", from}});
         task.coordinator = from;
     }
-    task.order = order;
+    task.batch = batch;
     task.nextRun = std::max(task.nextRun, minRun);
     if (task.state != TaskState::OnExecutor)
         return true;
-    const ExecutorLedger *executor = ledger(task.executor);
+    const ExecutorState *executor = findExecutor(task.executor);
     EP_ASSERT(executor, return true);
     const auto run = executor->runs().find(id);
     EP_ASSERT(run != executor->runs().end(), return true);
     if (run->second.state == RunState::Running)
         report(from, id, run->second.number, TaskReportState::Started, task.executor);
-    // If its run is being stopped, the task is started again after the end of that run.
+    // If the run is being stopped, the task is started again after its end.
     task.isCancelled = false;
     return true;
 }
 
 bool ExecutorGroup::claimFoundRun(const TaskId &id, const Task &task)
 {
-    for (auto &[executorId, executor] : m_ledgers) {
+    for (auto &[executorId, executor] : m_executors) {
         Run *run = executor.find(id);
         if (!run)
             continue;
         EP_ASSERT(!run->isClaimed, return false);
         run->isClaimed = true;
-        run->shape = task.order->shape;
+        run->shape = task.batch->shape;
         Task &added = m_tasks.emplace(id, task).first->second;
         added.state = TaskState::OnExecutor;
         added.executor = executorId;
@@ -222,21 +224,21 @@
     task.state = TaskState::Queued;
     task.executor = {};
     task.queuedAt = m_timers.now();
-    const Order &order = *task.order;
-    m_queue.add({id, ServiceId(order.batch.service), order.batch.priority, order.objective,
-                 order.shape, order.estimate},
+    const BatchInfo &batch = *task.batch;
+    m_queue.add({id, ServiceId(batch.message.service), batch.message.priority, batch.objective,
+                 batch.shape, batch.estimate},
                 task.queuedAt);
-    changed();
+    loadChanged();
 }
 
 void ExecutorGroup::placeQueued()
 {
     if (m_isFenced || m_queue.isEmpty())
         return;
-    // After a pause of this process another daemon may own the group; tick() finds out first.
+    // After a pause of this process another daemon may own the group; tick() checks that first.
     if (m_timers.now() - m_lastTick > Constants::PAUSE_MS)
         return;
-    // Shapes that found no room; a task that needs at least as much finds none either.
+    // Shapes that did not fit anywhere; a task that needs at least as much does not fit either.
     std::vector<std::pair<ServiceId, Resources>> tooBig;
     for (const TaskQueue::Entry &it : m_queue.head(MAX_PLACEMENT_SCAN)) {
         const bool isTooBig = std::any_of(tooBig.begin(), tooBig.end(), [&it](const auto &entry) {
@@ -246,10 +248,10 @@
             continue;
         const auto task = m_tasks.find(it.task);
         EP_ASSERT(task != m_tasks.end(), continue);
-        ExecutorLedger *executor = chooseExecutor(it.task, *task->second.order);
+        ExecutorState *executor = chooseExecutor(it.task, *task->second.batch);
         if (!executor) {
-            const Wire::TaskBatch &batch = task->second.order->batch;
-            if (batch.requiredLabel.empty() && batch.maxPerExecutor == 0)
+            const Wire::TaskBatch &message = task->second.batch->message;
+            if (message.requiredLabel.empty() && message.maxPerExecutor == 0)
                 tooBig.emplace_back(it.service, it.shape);
             continue;
         }
@@ -260,48 +262,48 @@
     }
 }
 
-ExecutorLedger *ExecutorGroup::chooseExecutor(const TaskId &id, const Order &order)
+ExecutorState *ExecutorGroup::chooseExecutor(const TaskId &id, const BatchInfo &batch)
 {
     const Base::TimePoint now = m_timers.now();
-    ExecutorLedger *best = nullptr;
+    ExecutorState *best = nullptr;
     double bestSpeed = 0;
-    std::uint32_t bestRest = 0;
-    for (auto &[executorId, executor] : m_ledgers) {
+    std::uint32_t bestRemaining = 0;
+    for (auto &[executorId, executor] : m_executors) {
         const ExecutorInfo &info = executor.info();
-        if (!executor.isUsable(now) || info.service.value() != order.batch.service)
+        if (!executor.isUsable(now) || info.service.value() != batch.message.service)
             continue;
-        if (!order.batch.requiredLabel.empty() && info.kind != order.batch.requiredLabel)
+        if (!batch.message.requiredLabel.empty() && info.kind != batch.message.requiredLabel)
             continue;
-        const Resources room = executor.freeRoom();
-        if (!order.shape.fits(room))
+        const Resources room = executor.freeResources();
+        if (!batch.shape.fits(room))
             continue;
-        if (order.batch.maxPerExecutor > 0
-            && executor.runsOfStep(id) >= order.batch.maxPerExecutor) {
+        if (batch.message.maxPerExecutor > 0
+            && executor.runsOfStep(id) >= batch.message.maxPerExecutor) {
             continue;
         }
         double speed = executor.speed();
-        if (!order.batch.rack.empty() && info.rack != order.batch.rack)
+        if (!batch.message.rack.empty() && info.rack != batch.message.rack)
             speed *= OTHER_RACK_SPEED;
-        const std::uint32_t rest = room.cpuMillis - order.shape.cpuMillis;
+        const std::uint32_t remaining = room.cpuMillis - batch.shape.cpuMillis;
         const bool isFaster = speed > bestSpeed * SPEED_TOLERANCE;
-        const bool isFuller = speed * SPEED_TOLERANCE >= bestSpeed && rest < bestRest;
+        const bool isFuller = speed * SPEED_TOLERANCE >= bestSpeed && remaining < bestRemaining;
         if (!best || isFaster || isFuller) {
             best = &executor;
             bestSpeed = speed;
-            bestRest = rest;
+            bestRemaining = remaining;
         }
     }
     return best;
 }
 
-double ExecutorGroup::estimateLogMs(const Order &order) const
+double ExecutorGroup::estimateLogMs(const BatchInfo &batch) const
 {
-    const auto it = m_estimateBias.find(order.batch.priority);
+    const auto it = m_estimateBias.find(batch.message.priority);
     const double bias = it == m_estimateBias.end() ? 0 : it->second;
-    return std::log(std::chrono::duration<double, std::milli>(order.estimate).count()) + bias;
+    return std::log(std::chrono::duration<double, std::milli>(batch.estimate).count()) + bias;
 }
 
-void ExecutorGroup::start(ExecutorLedger &executor, const TaskId &id, Task &task)
+void ExecutorGroup::start(ExecutorState &executor, const TaskId &id, Task &task)
 {
     const Base::TimePoint now = m_timers.now();
     const RunNumber number(task.nextRun++);
@@ -309,9 +311,9 @@
     task.executor = executor.info().id;
     Run run;
     run.number = number;
-    run.shape = task.order->shape;
+    run.shape = task.batch->shape;
     run.since = now;
-    const double expectedMs = std::exp(estimateLogMs(*task.order)) / executor.speed();
+    const double expectedMs = std::exp(estimateLogMs(*task.batch)) / executor.speed();
     run.expected = std::chrono::microseconds(static_cast<std::int64_t>(expectedMs * 1000));
     run.visibleFrom = UINT64_MAX;
     executor.runs().emplace(id, run);
@@ -319,7 +321,7 @@
     StartOrder order;
     order.task = id;
     order.run = number;
-    order.payload = task.order->batch.payload;
+    order.payload = task.batch->message.payload;
     order.leaseEnd = executor.nextLeaseEnd(now);
     order.token = m_token;
     executor.leaseSent(now);
@@ -340,12 +342,12 @@
 void ExecutorGroup::startAnswered(const ExecutorId &executorId, const TaskId &id, RunNumber number,
                                   const OrderResult &result)
 {
-    ExecutorLedger *executor = ledger(executorId);
+    ExecutorState *executor = findExecutor(executorId);
     if (!executor)
         return;
     const Base::TimePoint now = m_timers.now();
     if (result.clock)
-        executor->clockSeen(*result.clock, now);
+        executor->updateClock(*result.clock, now);
     Run *run = executor->find(id);
     if (!run || run->number != number)
         return; // its end was listed before the answer arrived
@@ -362,7 +364,7 @@
             if (task->second.isCancelled)
                 stopRun(*executor, id, *run);
         }
-        if (!executor->isHoldPending)
+        if (!executor->isWaitingHoldPending)
             hold(*executor, false);
         flushReports();
         return;
@@ -384,13 +386,13 @@
                {"outcome", static_cast<int>(result.outcome)},
                {"reason", static_cast<int>(result.refusal)}});
     executor->runs().erase(id);
-    changed();
+    loadChanged();
     if (result.refusal == RefusalReason::Fenced) {
         fence();
         return;
     }
     if (result.outcome == OrderOutcome::OtherLifetime)
-        lifetimeEnded(*executor, Lifetime());
+        executorRestarted(*executor, Lifetime());
     if (result.outcome == OrderOutcome::NotSent) {
         ++executor->missedAnswers;
         executor->nextTry = now;
@@ -406,17 +408,17 @@
     placeQueued();
 }
 
-/// The task has no run any more. \a isNewRun: the run may have been started, so the coordinator
-/// decides whether there is another one.
-void ExecutorGroup::requeue(const TaskId &id, bool isNewRun)
+/// Handles a task that no longer has a run. \a mayHaveStarted: the run may have been started, so
+/// the coordinator decides whether to start another one.
+void ExecutorGroup::requeue(const TaskId &id, bool mayHaveStarted)
 {
     const auto it = m_tasks.find(id);
     if (it == m_tasks.end())
         return;
     Task &task = it->second;
-    // A task that was dropped and claimed again goes on here; no report of its end was sent.
+    // A task that was dropped and claimed again continues here: its end has not been reported.
     const bool isClaimedAgain = task.isDropped && !task.isCancelled;
-    if ((isNewRun && !isClaimedAgain) || task.isCancelled) {
+    if ((mayHaveStarted && !isClaimedAgain) || task.isCancelled) {
         finishTask(id, RunNumber(task.nextRun - 1), TaskReportState::Lost, task.executor);
         return;
     }
@@ -424,7 +426,7 @@
     enqueue(id, task);
 }
 
-void ExecutorGroup::stopRun(ExecutorLedger &executor, const TaskId &id, Run &run)
+void ExecutorGroup::stopRun(ExecutorState &executor, const TaskId &id, Run &run)
 {
     const Base::TimePoint now = m_timers.now();
     run.state = RunState::Stopping;
@@ -442,29 +444,29 @@
 void ExecutorGroup::stopAnswered(const ExecutorId &executorId, const TaskId &id, RunNumber number,
                                  const OrderResult &result)
 {
-    ExecutorLedger *executor = ledger(executorId);
+    ExecutorState *executor = findExecutor(executorId);
     Run *run = executor ? executor->find(id) : nullptr;
     if (!run || run->number != number)
         return;
     if (result.clock)
-        executor->clockSeen(*result.clock, m_timers.now());
+        executor->updateClock(*result.clock, m_timers.now());
     if (result.outcome == OrderOutcome::Accepted) {
         run->isStopAccepted = true;
-        // From now on a listing without the run proves that it is over or was never there.
+        // From now on, a listing without the run proves that it has ended or never started.
         run->visibleFrom = m_lastHold + 1;
-        if (!executor->isHoldPending)
+        if (!executor->isWaitingHoldPending)
             hold(*executor, false);
         return;
     }
     if (result.refusal == RefusalReason::Fenced) {
         fence();
     } else if (result.outcome == OrderOutcome::OtherLifetime) {
-        lifetimeEnded(*executor, Lifetime());
+        executorRestarted(*executor, Lifetime());
     }
     // Otherwise the stop is repeated by checkRuns().
 }
 
-void ExecutorGroup::hold(ExecutorLedger &executor, bool isLook)
+void ExecutorGroup::hold(ExecutorState &executor, bool isImmediate)
 {
     if (m_isFenced)
         return;
@@ -472,35 +474,37 @@
     HoldOrder order;
     order.token = m_token;
     order.seenUpTo = executor.seenUpTo;
-    // Found runs are kept alive too, until their coordinators have had time to claim them. An
-    // executor that does not answer gets no new lease, so that its runs are certainly over in time.
+    // The lease is also extended for found runs, until their coordinators have had time to claim
+    // them. An executor that does not answer gets no new lease, so that its runs certainly end
+    // in time.
     if (!executor.runs().empty() && executor.missedAnswers == 0) {
         order.leaseEnd = executor.nextLeaseEnd(now);
         executor.leaseSent(now);
-        if (!isLook)
+        if (!isImmediate)
             order.wait = Constants::HOLD_WAIT_MS;
     }
-    (isLook ? executor.isLookPending : executor.isHoldPending) = true;
+    (isImmediate ? executor.isImmediateHoldPending : executor.isWaitingHoldPending) = true;
     executor.hasUnacknowledgedEnds = false;
     const std::uint64_t sequence = ++m_lastHold;
     m_port.hold(executor.info(), order,
-                [this, alive = m_isAlive, executorId = executor.info().id, isLook, sequence,
+                [this, alive = m_isAlive, executorId = executor.info().id, isImmediate, sequence,
                  lifetime = executor.lifetime()](const HoldResult &result) {
                     if (*alive)
-                        holdAnswered(executorId, isLook, sequence, lifetime, result);
+                        holdAnswered(executorId, isImmediate, sequence, lifetime, result);
                 });
 }
 
-void ExecutorGroup::holdAnswered(const ExecutorId &executorId, bool isLook, std::uint64_t sequence,
-                                 Lifetime lifetime, const HoldResult &result)
+void ExecutorGroup::holdAnswered(const ExecutorId &executorId, bool isImmediate,
+                                 std::uint64_t sequence, Lifetime lifetime,
+                                 const HoldResult &result)
 {
-    ExecutorLedger *executor = ledger(executorId);
+    ExecutorState *executor = findExecutor(executorId);
     if (!executor)
         return;
-    (isLook ? executor->isLookPending : executor->isHoldPending) = false;
+    (isImmediate ? executor->isImmediateHoldPending : executor->isWaitingHoldPending) = false;
     const Base::TimePoint now = m_timers.now();
     if (lifetime != executor->lifetime())
-        return; // sent to an earlier lifetime; tick() looks at the new one
+        return; // sent to an earlier lifetime; tick() sends a hold to the new one
     switch (result.order.outcome) {
     case OrderOutcome::Accepted:
         break;
@@ -519,35 +523,35 @@
                        {"outcome", static_cast<int>(result.order.outcome)},
                        {"runs", executor->runs().size()}});
         }
-        executor->nextTry = now + Constants::LOOK_RETRY_MS;
-        changed();
+        executor->nextTry = now + Constants::HOLD_RETRY_MS;
+        loadChanged();
         return;
     case OrderOutcome::OtherLifetime:
-        lifetimeEnded(*executor, result.lifetime);
+        executorRestarted(*executor, result.lifetime);
         return;
     }
-    if (executor->missedAnswers > 0 && executor->isLooked)
+    if (executor->missedAnswers > 0 && executor->hasListing)
         Base::log(LogLevel::Info, "executorBack", {{"executor", executorId}});
     executor->missedAnswers = 0;
     executor->lastAnswer = now;
     if (result.lifetime.value() > 0 && executor->lifetime().value() > 0
         && result.lifetime != executor->lifetime()) {
-        lifetimeEnded(*executor, result.lifetime);
+        executorRestarted(*executor, result.lifetime);
         return;
     }
     m_wasAccepted = true;
     if (executor->lifetime().value() == 0)
         executor->setLifetime(result.lifetime);
     if (result.order.clock)
-        executor->clockSeen(*result.order.clock, now);
+        executor->updateClock(*result.order.clock, now);
     listingReceived(*executor, sequence, result);
-    releaseAwaitingLook();
+    releaseAwaitingListing();
     placeQueued();
     flushReports();
-    followExecutor(*executor);
+    pollExecutor(*executor);
 }
 
-void ExecutorGroup::listingReceived(ExecutorLedger &executor, std::uint64_t sequence,
+void ExecutorGroup::listingReceived(ExecutorState &executor, std::uint64_t sequence,
                                     const HoldResult &result)
 {
     const Base::TimePoint now = m_timers.now();
@@ -563,7 +567,7 @@
         listed.insert(it.task);
         Run *run = executor.find(it.task);
         if (run && run->number == it.run) {
-            // Listings that are under way may have been made before the run began.
+            // Listings in transit may have been made before the run started.
             if (!std::exchange(run->isConfirmed, true))
                 run->visibleFrom = m_lastHold + 1;
             if (run->state == RunState::Starting || run->state == RunState::Unresolved) {
@@ -577,13 +581,13 @@
             }
             continue;
         }
-        // A listing may be older than what is known: the run's end may have been listed since.
+        // A listing may be out of date: the run's end may have been listed since.
         const auto ended = m_ended.find(it.task);
         const bool isKnownEnd = ended != m_ended.end() && ended->second.run >= it.run
                                 && ended->second.executor == executor.info().id;
         if (run || isKnownEnd)
             continue;
-        if (executor.isLooked && sequence != m_lastHold)
+        if (executor.hasListing && sequence != m_lastHold)
             continue;
         Base::log(LogLevel::Info, "runFound",
                   {{"task", toString(it.task)}, {"run", it.run}, {"executor", executor.info().id}});
@@ -597,9 +601,9 @@
         const auto task = m_tasks.find(it.task);
         if (task != m_tasks.end() && task->second.state != TaskState::OnExecutor) {
             found.isClaimed = true;
-            found.shape = task->second.order->shape;
+            found.shape = task->second.batch->shape;
             m_queue.remove(it.task);
-            m_awaitingLook.erase(it.task);
+            m_awaitingListing.erase(it.task);
             task->second.state = TaskState::OnExecutor;
             task->second.executor = executor.info().id;
             task->second.nextRun = std::max(task->second.nextRun, it.run.value() + 1);
@@ -625,13 +629,13 @@
         Run *run = executor.find(it);
         stopRun(executor, it, *run);
     }
-    if (!executor.isLooked) {
-        executor.isLooked = true;
-        changed();
+    if (!executor.hasListing) {
+        executor.hasListing = true;
+        loadChanged();
     }
 }
 
-void ExecutorGroup::endReceived(ExecutorLedger &executor, const ListedEnd &end)
+void ExecutorGroup::endReceived(ExecutorState &executor, const ListedEnd &end)
 {
     const auto known = m_ended.find(end.task);
     if (known == m_ended.end() || known->second.run <= end.run)
@@ -646,10 +650,10 @@
         return;
     const Run copy = *run;
     executor.runs().erase(end.task);
-    changed();
+    loadChanged();
     if (!copy.isClaimed)
         return;
-    learnFromEnd(executor, end.task, copy, end.end);
+    updateEstimates(executor, end.task, copy, end.end);
     switch (end.end) {
     case RunEnd::Done:
         ++m_counters.done;
@@ -668,8 +672,8 @@
     finishTask(end.task, end.run, reportStateOf(end.end), executor.info().id);
 }
 
-void ExecutorGroup::learnFromEnd(ExecutorLedger &executor, const TaskId &id, const Run &run,
-                                 RunEnd end)
+void ExecutorGroup::updateEstimates(ExecutorState &executor, const TaskId &id, const Run &run,
+                                    RunEnd end)
 {
     const auto it = m_tasks.find(id);
     if (it == m_tasks.end() || run.expected.count() == 0)
@@ -683,16 +687,16 @@
     if (end != RunEnd::Done)
         return;
     const Base::Duration runTime = now - run.since;
-    const Order &order = *it->second.order;
+    const BatchInfo &batch = *it->second.batch;
     const double runLogMs =
         std::log(std::max(std::chrono::duration<double, std::milli>(runTime).count(), 0.1));
-    const double residual = runLogMs + std::log(executor.speed()) - estimateLogMs(order);
-    executor.runSucceeded(runTime, estimateLogMs(order));
-    double &bias = m_estimateBias[order.batch.priority];
+    const double residual = runLogMs + std::log(executor.speed()) - estimateLogMs(batch);
+    executor.runSucceeded(runTime, estimateLogMs(batch));
+    double &bias = m_estimateBias[batch.message.priority];
     bias += BIAS_NEWEST_WEIGHT * std::clamp(residual, -1.0, 1.0);
 }
 
-void ExecutorGroup::runGone(ExecutorLedger &executor, const TaskId &id)
+void ExecutorGroup::runGone(ExecutorState &executor, const TaskId &id)
 {
     const Run *run = executor.find(id);
     if (!run)
@@ -702,13 +706,13 @@
               {{"task", toString(id)}, {"run", run->number}, {"executor", executor.info().id}});
     m_ended[id] = {run->number, RunEnd::Lapsed, m_timers.now(), executor.info().id, false};
     executor.runs().erase(id);
-    changed();
+    loadChanged();
     ++m_counters.lost;
     if (wasClaimed)
         requeue(id, true);
 }
 
-void ExecutorGroup::lifetimeEnded(ExecutorLedger &executor, Lifetime lifetime)
+void ExecutorGroup::executorRestarted(ExecutorState &executor, Lifetime lifetime)
 {
     Base::log(LogLevel::Warning, "executorRestarted",
               {{"executor", executor.info().id},
@@ -721,7 +725,7 @@
             lost.push_back(task);
     }
     executor.beginLifetime(lifetime);
-    changed();
+    loadChanged();
     for (const TaskId &it : lost) {
         ++m_counters.lost;
         requeue(it, true);
@@ -737,11 +741,11 @@
         finishTask(id, RunNumber(), TaskReportState::Returned, {});
         return;
     }
-    ExecutorLedger *executor = ledger(task.executor);
+    ExecutorState *executor = findExecutor(task.executor);
     EP_ASSERT(executor, return);
     Run *run = executor->find(id);
     EP_ASSERT(run, return);
-    // A start under way is stopped when it is answered.
+    // A run whose start is not answered yet is stopped on the answer.
     if (run->state == RunState::Running)
         stopRun(*executor, id, *run);
 }
@@ -788,7 +792,7 @@
     if (it == m_tasks.end())
         return;
     m_queue.remove(id);
-    m_awaitingLook.erase(id);
+    m_awaitingListing.erase(id);
     if (!it->second.isDropped || state == TaskReportState::Done) {
         report(it->second.coordinator, id, run, state, executor);
         const auto ended = m_ended.find(id);
@@ -796,7 +800,7 @@
             ended->second.isReported = true;
     }
     m_tasks.erase(it);
-    changed();
+    loadChanged();
 }
 
 void ExecutorGroup::report(const Base::DaemonId &coordinator, const TaskId &id, RunNumber run,
@@ -804,7 +808,7 @@
 {
     Wire::TaskReports &reports = m_reports[{coordinator, id.job}];
     reports.group = m_group.value();
-    // All reports of one message were made after the same batch: submit() flushes before it begins.
+    // All reports of one message refer to the same batch: submit() flushes pending reports first.
     reports.batchesSeen = m_batchesSeen[coordinator];
     reports.job = id.job.value();
     reports.reports.push_back({id.occurrence, id.step, id.index, run.value(),
@@ -825,48 +829,49 @@
         m_listener.tasksReported(key.first, reports);
 }
 
-bool ExecutorGroup::isLeaseOfEarlierOwnerOver() const
+bool ExecutorGroup::isPreviousOwnerLeaseExpired() const
 {
-    // The earlier owner may not have heard of the claim. It renews leases until it has asked one of
-    // the executors that this one has looked at.
-    return m_timers.now() >= m_claimed + Constants::CONFIRM_MS + Constants::ORDER_TIMEOUT_MS
-                                 + Constants::LEASE_MS + Constants::LEASE_SLACK_MS;
+    // The previous owner may not have heard of the claim. It renews leases until it checks its
+    // token with an executor that this owner has already sent a hold.
+    return m_timers.now() >= m_claimed + Constants::TOKEN_CHECK_INTERVAL_MS
+                                 + Constants::ORDER_TIMEOUT_MS + Constants::LEASE_MS
+                                 + Constants::LEASE_SLACK_MS;
 }
 
-/// Whether a task that an earlier owner had, and that is in no listing, runs nowhere any more. It
+/// Whether a task of a previous owner that is in no listing is certainly not running any more. It
 /// was last reported on \a executor, or not reported as started if that is empty. An executor that
-/// this daemon does not know, for its registration has lapsed or not arrived, may still run it
-/// until the lease of the earlier owner is over.
-bool ExecutorGroup::isFateKnown(const ExecutorId &executor) const
+/// this daemon does not know, because its registration has expired or not yet arrived, may still
+/// run the task until the lease of the previous owner expires.
+bool ExecutorGroup::isCertainlyNotRunning(const ExecutorId &executor) const
 {
-    if (isLeaseOfEarlierOwnerOver())
+    if (isPreviousOwnerLeaseExpired())
         return true;
     if (!executor.isEmpty()) {
-        const auto it = m_ledgers.find(executor);
-        return it != m_ledgers.end() && it->second.isLooked;
+        const auto it = m_executors.find(executor);
+        return it != m_executors.end() && it->second.hasListing;
     }
-    return isListStable() && std::all_of(m_ledgers.begin(), m_ledgers.end(), [](const auto &it) {
-               return it.second.isLooked;
-           });
+    return isExecutorListStable()
+           && std::all_of(m_executors.begin(), m_executors.end(),
+                          [](const auto &it) { return it.second.hasListing; });
 }
 
-/// While registrations come and go, as after a cut, daemons know different executors for a while.
-bool ExecutorGroup::isListStable() const
+/// While registrations change, as after a network partition, daemons may know different executors.
+bool ExecutorGroup::isExecutorListStable() const
 {
-    return m_timers.now() - m_listChanged > Constants::LIST_SETTLING_MS;
+    return m_timers.now() - m_listChanged > Constants::REGISTRATION_SETTLING_MS;
 }
 
-void ExecutorGroup::releaseAwaitingLook()
+void ExecutorGroup::releaseAwaitingListing()
 {
     std::vector<TaskId> known;
-    for (const TaskId &it : m_awaitingLook) {
+    for (const TaskId &it : m_awaitingListing) {
         const auto task = m_tasks.find(it);
         EP_ASSERT(task != m_tasks.end(), continue);
-        if (isFateKnown(task->second.executor))
+        if (isCertainlyNotRunning(task->second.executor))
             known.push_back(it);
     }
     for (const TaskId &it : known) {
-        m_awaitingLook.erase(it);
+        m_awaitingListing.erase(it);
         Task &task = m_tasks.at(it);
         const auto ended = m_ended.find(it);
         const bool isKnownResult =
@@ -883,20 +888,20 @@
     }
 }
 
-void ExecutorGroup::followExecutor(ExecutorLedger &executor)
+void ExecutorGroup::pollExecutor(ExecutorState &executor)
 {
-    const bool isWatched = !executor.runs().empty() || executor.hasUnacknowledgedEnds;
-    if (isWatched && !executor.isHoldPending && executor.missedAnswers == 0)
+    const bool isPollNeeded = !executor.runs().empty() || executor.hasUnacknowledgedEnds;
+    if (isPollNeeded && !executor.isWaitingHoldPending && executor.missedAnswers == 0)
         hold(executor, false);
 }
 
-/// Whether a stop has to be sent, or sent again.
+/// Whether a stop has to be sent, for the first time or again.
 static bool isStopDue(const Run &run, Base::TimePoint now)
 {
     const bool isRepeatDue = run.state == RunState::Stopping && !run.isStopAccepted
-                             && now - run.stopSent > Constants::STOP_REPEAT_MS;
+                             && now - run.stopSent > Constants::STOP_RETRY_MS;
     const bool isUnclaimed = run.state == RunState::Running && !run.isClaimed
-                             && now - run.since > Constants::CLAIM_WINDOW_MS;
+                             && now - run.since > Constants::RUN_CLAIM_TIMEOUT_MS;
     return isRepeatDue || isUnclaimed;
 }
 
@@ -909,7 +914,7 @@
     return now - run.since >= std::max<Base::Duration>(Constants::STRAGGLER_MIN_MS, limit);
 }
 
-void ExecutorGroup::stopStraggler(ExecutorLedger &executor, const TaskId &id, Run &run)
+void ExecutorGroup::stopStraggler(ExecutorState &executor, const TaskId &id, Run &run)
 {
     const Base::TimePoint now = m_timers.now();
     ++m_counters.stragglers;
@@ -920,18 +925,18 @@
                {"elapsed", now - run.since}});
     const auto task = m_tasks.find(id);
     if (task != m_tasks.end())
-        executor.runSucceeded(now - run.since, estimateLogMs(*task->second.order));
+        executor.runSucceeded(now - run.since, estimateLogMs(*task->second.batch));
     executor.runFailed(id.job, now);
     stopRun(executor, id, run);
 }
 
-void ExecutorGroup::checkRuns(ExecutorLedger &executor)
+void ExecutorGroup::checkRuns(ExecutorState &executor)
 {
     const Base::TimePoint now = m_timers.now();
-    const bool isLeaseOver = now > executor.leaseEnd();
+    const bool isLeaseExpired = now > executor.leaseEnd();
     std::vector<TaskId> lapsed;
     for (auto &[id, run] : executor.runs()) {
-        if (isLeaseOver && run.state != RunState::Starting)
+        if (isLeaseExpired && run.state != RunState::Starting)
             lapsed.push_back(id);
         else if (isStopDue(run, now))
             stopRun(executor, id, run);
@@ -942,11 +947,11 @@
         runGone(executor, it);
 }
 
-bool ExecutorGroup::isConfirmationDue(const ExecutorLedger &executor) const
+bool ExecutorGroup::isTokenCheckDue(const ExecutorState &executor) const
 {
     const Base::TimePoint now = m_timers.now();
-    return now < m_contestedUntil && now - executor.lastAnswer >= Constants::CONFIRM_MS
-           && !executor.isHoldPending && !executor.isLookPending;
+    return now < m_contestedUntil && now - executor.lastAnswer >= Constants::TOKEN_CHECK_INTERVAL_MS
+           && !executor.isWaitingHoldPending && !executor.isImmediateHoldPending;
 }
 
 void ExecutorGroup::tick()
@@ -956,44 +961,43 @@
     const Base::TimePoint now = m_timers.now();
     if (now - std::exchange(m_lastTick, now) > Constants::PAUSE_MS) {
         Base::log(LogLevel::Warning, "ownerPaused", {{"group", m_group}, {"token", m_token}});
-        // An executor that restarted meanwhile has forgotten a higher token of another owner.
-        for (auto &[id, executor] : m_ledgers)
-            executor.isLooked = false;
+        // An executor that restarted in the meantime has lost the higher token of another owner.
+        for (auto &[id, executor] : m_executors)
+            executor.hasListing = false;
     }
     const bool hasRuns = m_contestedUntil > now && runCount() > 0;
-    for (auto &[id, executor] : m_ledgers) {
+    for (auto &[id, executor] : m_executors) {
         checkRuns(executor);
-        if (!executor.isLooked || executor.missedAnswers > 0) {
-            if (!executor.isLookPending && now >= executor.nextTry)
+        if (!executor.hasListing || executor.missedAnswers > 0) {
+            if (!executor.isImmediateHoldPending && now >= executor.nextTry)
                 hold(executor, true);
         } else {
-            followExecutor(executor);
-            if (hasRuns && isConfirmationDue(executor))
+            pollExecutor(executor);
+            if (hasRuns && isTokenCheckDue(executor))
                 hold(executor, true);
         }
         if (m_isFenced)
             return;
     }
-    std::erase_if(m_ledgers, [](const auto &it) {
+    std::erase_if(m_executors, [](const auto &it) {
         return !it.second.isRegistered && it.second.runs().empty();
     });
-    if (now - m_lastPrune >= Constants::END_PRUNE_MS) {
+    if (now - m_lastPrune >= Constants::END_PRUNE_INTERVAL_MS) {
         m_lastPrune = now;
         std::erase_if(m_ended, [now](const auto &it) {
-            return now - it.second.time > Constants::END_MEMORY_MS;
+            return now - it.second.time > Constants::END_RETENTION_MS;
         });
     }
-    releaseAwaitingLook();
+    releaseAwaitingListing();
     for (const TaskQueue::Entry &it : m_queue.head(MAX_PLACEMENT_SCAN)) {
         const auto task = m_tasks.find(it.task);
         EP_ASSERT(task != m_tasks.end(), continue);
-        if (now < task->second.order->deadline)
+        if (now < task->second.batch->deadline)
             continue;
-        // Without a report: the coordinator ends the job by itself, and a report would cross a
-        // claim.
+        // Not reported: the coordinator ends the job by itself, and a report could cross a claim.
         m_queue.remove(it.task);
         m_tasks.erase(task);
-        changed();
+        loadChanged();
     }
     placeQueued();
     flushReports();
@@ -1011,11 +1015,11 @@
     Wire::GroupLoad load;
     load.group = m_group.value();
     load.token = m_token.value();
-    for (const auto &[id, executor] : m_ledgers) {
+    for (const auto &[id, executor] : m_executors) {
         if (!executor.isUsable(now))
             continue;
         const ExecutorInfo &info = executor.info();
-        const Resources room = executor.freeRoom();
+        const Resources room = executor.freeResources();
         load.executors.push_back({info.service.value(), info.rack, info.kind, room.cpuMillis,
                                   room.memoryMb, room.gpus, info.capacity.cpuMillis,
                                   static_cast<std::uint32_t>(executor.speed() * 100)});
--- a/src/libs/dispatch/executorgroup.h
+++ b/src/libs/dispatch/executorgroup.h
@@ -1,9 +1,10 @@
-// Orders the executors of one group: the only daemon that starts, stops and looks at them, under
-// one fencing token. Tasks of all daemons wait here until an executor has room.
+// Controls the executors of one group. Only the owner of a group starts and stops tasks there and
+// lists them, under one fencing token. Tasks of all daemons are queued here until an executor has
+// enough free resources.
 #pragma once
 
-#include "executorledger.h"
 #include "executorport.h"
+#include "executorstate.h"
 #include "taskqueue.h"
 
 #include <wire/messages.h>
@@ -19,15 +20,15 @@
 public:
     virtual ~GroupListener() = default;
 
-    /// Reports for the daemon \a coordinator, which holds the job.
+    /// \a reports are for the daemon \a coordinator, which holds the job.
     virtual void tasksReported(const Base::DaemonId &coordinator,
                                const Wire::TaskReports &reports) = 0;
-    /// An executor has seen a higher token. The group must not be used any more. \a wasAccepted: an
-    /// earlier order under the group's token was accepted.
+    /// An executor has seen a higher token, so the group must not be used any more. \a wasAccepted:
+    /// an earlier order under the group's token was accepted.
     virtual void groupFenced(const GroupId &group, bool wasAccepted) = 0;
 };
 
-/// Counts of one group since its claim.
+/// Counters of one group since its claim.
 struct GroupCounters
 {
     std::uint64_t starts = 0;
@@ -38,8 +39,8 @@
     std::uint64_t stragglers = 0;
 };
 
-/// Exists from the claim of a group to its loss. A run number, once used for a task, is never used
-/// for it again, and a task has at most one run in the ledgers of a group.
+/// Exists from the claim of a group to its loss. A run number is used only once for a task, and a
+/// task has at most one run in the records of a group's executors.
 class ExecutorGroup
 {
 public:
@@ -51,33 +52,34 @@
     FencingToken token() const { return m_token; }
     Base::TimePoint claimed() const { return m_claimed; }
 
-    /// The registered executors of the group. Runs on executors that are missing are followed to
-    /// their end, and nothing new starts there.
-    /// \a changed is when the set last changed.
+    /// Sets the registered executors of the group. Runs on executors that are missing from the list
+    /// are tracked to their end, and nothing new starts there. \a changed is when the set last
+    /// changed.
     void setExecutors(const std::vector<ExecutorInfo> &executors, Base::TimePoint changed);
 
-    void submit(const Base::DaemonId &from, const Wire::TaskBatch &batch);
+    void submit(const Base::DaemonId &from, const Wire::TaskBatch &message);
     void stopJob(const Base::DaemonId &from, const JobId &job);
-    /// Stops and drops all tasks of \a daemon without a report: it is lost, or has lost touch, and
-    /// its callers send their jobs again elsewhere. If it is still there, it claims its tasks
-    /// again.
+    /// Stops and drops all tasks of \a daemon without a report: it has failed or is disconnected,
+    /// and its callers submit their jobs again elsewhere. If it is still running, it claims its
+    /// tasks again.
     void coordinatorLost(const Base::DaemonId &daemon);
 
-    /// Another daemon may claim the group without this one hearing of it: asks the executors until
-    /// \a until whether the token still holds.
+    /// Another daemon may claim the group without this one hearing of it: until \a until, the
+    /// executors are checked for whether they still accept the token.
     void setContested(Base::TimePoint until) { m_contestedUntil = until; }
 
-    /// The group has another owner: sends no order any more.
+    /// The group has another owner: no more orders are sent.
     void retire() { m_isFenced = true; }
 
-    /// Without batchesSeen, which differs by recipient.
+    /// The load to report, without batchesSeen, which differs by recipient.
     Wire::GroupLoad load() const;
     /// Sequence of the last batch from \a coordinator, 0 if there was none.
     std::uint64_t batchesSeen(const Base::DaemonId &coordinator) const;
-    /// Rises with each change of the load.
+    /// Incremented with each change of the load.
     std::uint64_t loadVersion() const { return m_loadVersion; }
 
-    /// Renews leases, follows unanswered orders and stops stragglers; called every TICK_MS.
+    /// Renews leases, retries unanswered holds and stops, and stops stragglers; called every
+    /// TICK_MS.
     void tick();
 
     const GroupCounters &counters() const { return m_counters; }
@@ -85,12 +87,12 @@
     std::size_t runCount() const;
 
 private:
-    enum class TaskState { AwaitingLook, Queued, OnExecutor };
+    enum class TaskState { AwaitingListing, Queued, OnExecutor };
 
-    /// What a coordinator said about all tasks of a batch, with times of this daemon's clock.
-    struct Order
+    /// Data common to all tasks of a batch, with times on the clock of this daemon.
+    struct BatchInfo
     {
-        Wire::TaskBatch batch; // without the list of tasks
+        Wire::TaskBatch message; // without the list of tasks
         Resources shape;
         Base::Duration estimate{0};
         Base::TimePoint objective;
@@ -100,12 +102,12 @@
     struct Task
     {
         Base::DaemonId coordinator;
-        std::shared_ptr<const Order> order;
+        std::shared_ptr<const BatchInfo> batch;
         std::uint64_t nextRun = 1;
         TaskState state = TaskState::Queued;
-        ExecutorId executor; // if OnExecutor; if AwaitingLook, where an earlier owner started it
+        ExecutorId executor; // if OnExecutor; if AwaitingListing, where a previous owner started it
         bool isCancelled = false;
-        bool isDropped = false; // cancelled, and to be forgotten without a report
+        bool isDropped = false; // cancelled, and to be removed without a report
         Base::TimePoint queuedAt;
     };
 
@@ -118,51 +120,50 @@
         bool isReported = false; // to a coordinator, which may then have started it elsewhere
     };
 
-    using LedgerMap = std::map<ExecutorId, ExecutorLedger>;
+    using ExecutorMap = std::map<ExecutorId, ExecutorState>;
 
-    ExecutorLedger *ledger(const ExecutorId &id);
-    void submitTask(const Base::DaemonId &from, const std::shared_ptr<const Order> &order,
+    ExecutorState *findExecutor(const ExecutorId &id);
+    void submitTask(const Base::DaemonId &from, const std::shared_ptr<const BatchInfo> &batch,
                     const Wire::BatchTask &entry);
     bool reportKnownEnd(const Base::DaemonId &from, const TaskId &id, const Wire::BatchTask &entry);
     void cancelTask(const TaskId &id, Task &task);
     bool claimFoundRun(const TaskId &id, const Task &task);
-    bool attachTask(const Base::DaemonId &from, const std::shared_ptr<const Order> &order,
+    bool attachTask(const Base::DaemonId &from, const std::shared_ptr<const BatchInfo> &batch,
                     const TaskId &id, std::uint64_t minRun);
     void enqueue(const TaskId &id, Task &task);
     void placeQueued();
-    ExecutorLedger *chooseExecutor(const TaskId &id, const Order &order);
-    void start(ExecutorLedger &executor, const TaskId &id, Task &task);
+    ExecutorState *chooseExecutor(const TaskId &id, const BatchInfo &batch);
+    void start(ExecutorState &executor, const TaskId &id, Task &task);
     void startAnswered(const ExecutorId &executorId, const TaskId &id, RunNumber run,
                        const OrderResult &result);
-    void requeue(const TaskId &id, bool isNewRun);
-    void stopRun(ExecutorLedger &executor, const TaskId &id, Run &run);
+    void requeue(const TaskId &id, bool mayHaveStarted);
+    void stopRun(ExecutorState &executor, const TaskId &id, Run &run);
     void stopAnswered(const ExecutorId &executorId, const TaskId &id, RunNumber run,
                       const OrderResult &result);
-    void hold(ExecutorLedger &executor, bool isLook);
-    void holdAnswered(const ExecutorId &executorId, bool isLook, std::uint64_t sequence,
+    void hold(ExecutorState &executor, bool isImmediate);
+    void holdAnswered(const ExecutorId &executorId, bool isImmediate, std::uint64_t sequence,
                       Lifetime lifetime, const HoldResult &result);
-    void listingReceived(ExecutorLedger &executor, std::uint64_t sequence,
-                         const HoldResult &result);
-    void endReceived(ExecutorLedger &executor, const ListedEnd &end);
-    void runGone(ExecutorLedger &executor, const TaskId &id);
-    void lifetimeEnded(ExecutorLedger &executor, Lifetime lifetime);
-    void learnFromEnd(ExecutorLedger &executor, const TaskId &id, const Run &run, RunEnd end);
+    void listingReceived(ExecutorState &executor, std::uint64_t sequence, const HoldResult &result);
+    void endReceived(ExecutorState &executor, const ListedEnd &end);
+    void runGone(ExecutorState &executor, const TaskId &id);
+    void executorRestarted(ExecutorState &executor, Lifetime lifetime);
+    void updateEstimates(ExecutorState &executor, const TaskId &id, const Run &run, RunEnd end);
     void finishTask(const TaskId &id, RunNumber run, Wire::TaskReportState state,
                     const ExecutorId &executor);
     void report(const Base::DaemonId &coordinator, const TaskId &id, RunNumber run,
                 Wire::TaskReportState state, const ExecutorId &executor);
     void flushReports();
-    void followExecutor(ExecutorLedger &executor);
-    void stopStraggler(ExecutorLedger &executor, const TaskId &id, Run &run);
-    void checkRuns(ExecutorLedger &executor);
-    bool isConfirmationDue(const ExecutorLedger &executor) const;
+    void pollExecutor(ExecutorState &executor);
+    void stopStraggler(ExecutorState &executor, const TaskId &id, Run &run);
+    void checkRuns(ExecutorState &executor);
+    bool isTokenCheckDue(const ExecutorState &executor) const;
     void fence();
-    bool isLeaseOfEarlierOwnerOver() const;
-    bool isFateKnown(const ExecutorId &executor) const;
-    bool isListStable() const;
-    void releaseAwaitingLook();
-    double estimateLogMs(const Order &order) const;
-    void changed() { ++m_loadVersion; }
+    bool isPreviousOwnerLeaseExpired() const;
+    bool isCertainlyNotRunning(const ExecutorId &executor) const;
+    bool isExecutorListStable() const;
+    void releaseAwaitingListing();
+    double estimateLogMs(const BatchInfo &batch) const;
+    void loadChanged() { ++m_loadVersion; }
 
     const GroupId m_group;
     const FencingToken m_token;
@@ -170,22 +171,22 @@
     ExecutorPort &m_port;
     GroupListener &m_listener;
     const Base::TimePoint m_claimed;
-    // Callbacks of orders that are answered after the group is gone must do nothing.
+    // Set to false by the destructor: answers to orders that arrive later are ignored.
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
-    bool m_isFenced = false;    // no order is sent any more
+    bool m_isFenced = false;    // no more orders are sent
     bool m_wasAccepted = false; // some executor has accepted the token
 
-    LedgerMap m_ledgers;
+    ExecutorMap m_executors;
     Base::TimePoint m_listChanged;  // when an executor was last added or removed
-    std::map<TaskId, Task> m_tasks; // Queued tasks are in m_queue, OnExecutor ones in a ledger
+    std::map<TaskId, Task> m_tasks; // Queued ones are in m_queue, OnExecutor ones in m_executors
     TaskQueue m_queue;
-    std::set<TaskId> m_awaitingLook;
+    std::set<TaskId> m_awaitingListing;
     std::map<TaskId, EndedTask> m_ended;
     Base::TimePoint m_lastPrune; // of m_ended
     std::map<Base::DaemonId, std::uint64_t> m_batchesSeen;
-    std::map<std::uint32_t, double> m_estimateBias; // by priority, logarithm
+    std::map<std::uint32_t, double> m_estimateBias; // by priority, as a logarithm
     std::map<std::pair<Base::DaemonId, JobId>, Wire::TaskReports> m_reports; // not sent yet
-    std::uint64_t m_lastHold = 0; // numbers holds in the order of sending
+    std::uint64_t m_lastHold = 0; // number of the hold sent last
     std::uint64_t m_loadVersion = 1;
     Base::TimePoint m_lastTick;
     Base::TimePoint m_contestedUntil;
--- a/src/libs/dispatch/executorport.h
+++ b/src/libs/dispatch/executorport.h
@@ -1,4 +1,4 @@
-// Orders to executors and what they answer.
+// Interface for sending orders to executors, and the results of the orders.
 #pragma once
 
 #include "dispatchtypes.h"
@@ -8,23 +8,23 @@
 
 namespace Dispatch {
 
-/// Time on one executor's own steady clock.
+/// Time on the steady clock of one executor.
 using ExecutorTime = std::chrono::milliseconds;
 
 enum class OrderOutcome {
     Accepted,
-    Refused,       ///< Certainly not carried out; see the reason.
-    Unhealthy,     ///< Certainly not carried out; the executor takes no orders now.
+    Refused,       ///< Certainly not carried out; see RefusalReason.
+    Unhealthy,     ///< Certainly not carried out; the executor takes no orders at present.
     OtherLifetime, ///< Certainly not carried out; another lifetime answered.
     NotSent,       ///< Certainly not carried out; no connection.
-    Unknown,       ///< May have been carried out, or may be, seconds later.
+    Unknown,       ///< May have been carried out, or may still be, seconds later.
 };
 
 enum class RefusalReason {
     None,
     Fenced,       ///< A higher token was seen.
-    OldRun,       ///< This run or a higher one was ended or stopped there.
-    LeaseExpired, ///< The lease of the order had passed on arrival.
+    OldRun,       ///< This run of the task or a higher one has ended or was stopped there.
+    LeaseExpired, ///< The lease in the order had expired on arrival.
     NoRoom,
     Other,
 };
@@ -52,13 +52,13 @@
     FencingToken token;
 };
 
-/// Prolongs the lease, forgets ends and lists what runs and what has ended.
+/// Extends the lease, acknowledges ends, and lists the active runs and the ends since.
 struct HoldOrder
 {
-    std::optional<ExecutorTime> leaseEnd; // no value: leaves the lease as it is
+    std::optional<ExecutorTime> leaseEnd; // no value: the lease is not changed
     FencingToken token;
-    EndSequence seenUpTo;   // ends up to this one are forgotten
-    Base::Duration wait{0}; // the answer waits this long for an end
+    EndSequence seenUpTo;   // ends up to this one are acknowledged, and deleted there
+    Base::Duration wait{0}; // how long the answer may wait for an end
 };
 
 struct ListedRun
@@ -80,10 +80,10 @@
     OrderResult order;
     Lifetime lifetime; // 0 if not stated
     std::vector<ListedRun> running;
-    std::vector<ListedEnd> ended; // in rising order of their sequence
+    std::vector<ListedEnd> ended; // in ascending order of the sequence
 };
 
-/// Sends orders. Callbacks run on the loop, never from within the call, and exactly once.
+/// Sends orders. Each callback runs exactly once, on the event loop and never from within the call.
 class ExecutorPort
 {
 public:
--- a/src/libs/dispatch/executorledger.cpp
+++ b/src/libs/dispatch/executorstate.cpp
@@ -1,5 +1,5 @@
-// Clock, lease, room and health of one executor.
-#include "executorledger.h"
+// Clock, lease, free resources and health of one executor.
+#include "executorstate.h"
 
 #include "dispatchconstants.h"
 
@@ -8,55 +8,55 @@
 
 namespace Dispatch {
 
-ExecutorLedger::ExecutorLedger(ExecutorInfo info)
+ExecutorState::ExecutorState(ExecutorInfo info)
     : m_info(std::move(info))
     , m_lifetime(m_info.lifetime)
 {}
 
-void ExecutorLedger::beginLifetime(Lifetime lifetime)
+void ExecutorState::beginLifetime(Lifetime lifetime)
 {
     m_lifetime = lifetime;
     m_clock.reset();
     m_runs.clear();
     seenUpTo = EndSequence();
-    isLooked = false;
+    hasListing = false;
     hasUnacknowledgedEnds = false;
     m_speed = {};
     m_consecutiveFailures = 0;
     m_unusableUntil = {};
 }
 
-void ExecutorLedger::clockSeen(ExecutorTime clock, Base::TimePoint now)
+void ExecutorState::updateClock(ExecutorTime clock, Base::TimePoint now)
 {
-    // An answer that was overtaken by a later one gives an earlier reading.
+    // An answer that arrives out of order has an earlier reading.
     if (m_clock && *m_clock > clock)
         return;
     m_clock = clock;
-    m_clockSeen = now;
+    m_clockUpdated = now;
 }
 
-std::optional<ExecutorTime> ExecutorLedger::nextLeaseEnd(Base::TimePoint now) const
+std::optional<ExecutorTime> ExecutorState::nextLeaseEnd(Base::TimePoint now) const
 {
     if (!m_clock)
         return std::nullopt;
-    return *m_clock + std::chrono::duration_cast<ExecutorTime>(now - m_clockSeen)
+    return *m_clock + std::chrono::duration_cast<ExecutorTime>(now - m_clockUpdated)
            + Constants::LEASE_MS;
 }
 
-void ExecutorLedger::leaseSent(Base::TimePoint now)
+void ExecutorState::leaseSent(Base::TimePoint now)
 {
     m_leaseEnd = now + Constants::LEASE_MS + Constants::LEASE_SLACK_MS;
 }
 
-Run *ExecutorLedger::find(const TaskId &task)
+Run *ExecutorState::find(const TaskId &task)
 {
     const auto it = m_runs.find(task);
     return it == m_runs.end() ? nullptr : &it->second;
 }
 
-Resources ExecutorLedger::freeRoom() const
+Resources ExecutorState::freeResources() const
 {
-    if (!isLooked)
+    if (!hasListing)
         return {};
     Resources used;
     for (const auto &[task, run] : m_runs) {
@@ -67,7 +67,7 @@
     return m_info.capacity.minus(used);
 }
 
-std::uint32_t ExecutorLedger::runsOfStep(const TaskId &task) const
+std::uint32_t ExecutorState::runsOfStep(const TaskId &task) const
 {
     return static_cast<std::uint32_t>(
         std::count_if(m_runs.begin(), m_runs.end(), [&task](const auto &it) {
@@ -76,32 +76,32 @@
         }));
 }
 
-void ExecutorLedger::runSucceeded(Base::Duration runTime, double estimateLogMs)
+void ExecutorState::runSucceeded(Base::Duration runTime, double estimateLogMs)
 {
     m_consecutiveFailures = 0;
     m_speed.add(runTime, estimateLogMs);
 }
 
-bool ExecutorLedger::runFailed(const JobId &job, Base::TimePoint now)
+bool ExecutorState::runFailed(const JobId &job, Base::TimePoint now)
 {
     if (std::exchange(m_lastFailedJob, job) == job)
         return false;
     if (++m_consecutiveFailures < Constants::EJECT_FAILURES)
         return false;
-    // After the ejection a single failure ejects again, a single success reinstates.
+    // After the ejection, a single failure ejects again; a single success resets the count.
     m_consecutiveFailures = Constants::EJECT_FAILURES - 1;
     m_unusableUntil = now + Constants::EJECT_MS;
     return true;
 }
 
-void ExecutorLedger::backOff(Base::TimePoint until)
+void ExecutorState::backOff(Base::TimePoint until)
 {
     m_unusableUntil = std::max(m_unusableUntil, until);
 }
 
-bool ExecutorLedger::isUsable(Base::TimePoint now) const
+bool ExecutorState::isUsable(Base::TimePoint now) const
 {
-    return isLooked && isRegistered && !m_info.draining && missedAnswers == 0
+    return hasListing && isRegistered && !m_info.draining && missedAnswers == 0
            && now >= m_unusableUntil;
 }
 
--- /dev/null
+++ b/src/libs/dispatch/executorstate.h
@@ -0,0 +1,103 @@
+// State of one executor as known to the owner of its group: clock, lease, runs, speed and health.
+#pragma once
+
+#include "executorport.h"
+
+#include <scheduling/speedestimate.h>
+
+#include <map>
+
+namespace Dispatch {
+
+enum class RunState {
+    Starting,   ///< The start was sent and has not been answered.
+    Unresolved, ///< The start was not answered in time; it may still be carried out.
+    Running,
+    Stopping, ///< A stop was sent; the run occupies its resources until its end is listed.
+};
+
+/// One run of a task on the executor. It occupies resources as long as it is recorded.
+struct Run
+{
+    RunNumber number;
+    Resources shape; // empty if the run is not claimed
+    RunState state = RunState::Starting;
+    bool isClaimed = true;    // false: found in a listing, and no coordinator has claimed it yet
+    bool isConfirmed = false; // accepted or listed; until then the start may be carried out late
+    bool isStopAccepted = false;
+    Base::TimePoint since; // start sent, or first listed
+    Base::TimePoint stopSent;
+    Base::Duration expected{0}; // run time, from the estimate and the executor's speed
+    /// Number of the first hold whose listing contains the run if it is active.
+    std::uint64_t visibleFrom = 0;
+};
+
+/// Only records state and sends no orders. One per executor of an owned group.
+class ExecutorState
+{
+public:
+    explicit ExecutorState(ExecutorInfo info);
+
+    const ExecutorInfo &info() const { return m_info; }
+    void setInfo(const ExecutorInfo &info) { m_info = info; }
+
+    /// Discards everything that is known about the earlier lifetime.
+    void beginLifetime(Lifetime lifetime);
+    Lifetime lifetime() const { return m_lifetime; }
+    /// Sets the lifetime to which the recorded state belongs, once it is known.
+    void setLifetime(Lifetime lifetime) { m_lifetime = lifetime; }
+
+    // Clock and lease.
+    void updateClock(ExecutorTime clock, Base::TimePoint now);
+    /// End, on the executor's clock, of a lease of full length that is granted at \a now. No value
+    /// until the clock is known.
+    std::optional<ExecutorTime> nextLeaseEnd(Base::TimePoint now) const;
+    /// An order with a new lease was sent at \a now; it may or may not arrive.
+    void leaseSent(Base::TimePoint now);
+    /// Unless a new lease is sent, all runs started so far have ended by this time.
+    Base::TimePoint leaseEnd() const { return m_leaseEnd; }
+
+    // Runs.
+    std::map<TaskId, Run> &runs() { return m_runs; }
+    const std::map<TaskId, Run> &runs() const { return m_runs; }
+    Run *find(const TaskId &task);
+    /// Resources that are certainly free. None while a run of unknown shape is there.
+    Resources freeResources() const;
+    /// Number of runs of the step that \a task belongs to.
+    std::uint32_t runsOfStep(const TaskId &task) const;
+
+    // Health.
+    void runSucceeded(Base::Duration runTime, double estimateLogMs);
+    /// Returns true if this failure ejects the executor. Successive failures of one job count once,
+    /// since the job may be at fault.
+    bool runFailed(const JobId &job, Base::TimePoint now);
+    void backOff(Base::TimePoint until);
+    bool isUsable(Base::TimePoint now) const;
+    double speed() const { return m_speed.speed(); }
+
+    /// A current listing was received under the group's token: all runs there are known, and tasks
+    /// may be started.
+    bool hasListing = false;
+    bool isRegistered = true;
+    bool isWaitingHoldPending = false;   // a hold that waits for an end is in flight
+    bool isImmediateHoldPending = false; // a hold that does not wait is in flight
+    bool hasUnacknowledgedEnds = false;
+    int missedAnswers = 0; // consecutive
+    Base::TimePoint nextTry;
+    Base::TimePoint lastAnswer; // to a hold under the group's token
+    EndSequence seenUpTo;
+
+private:
+    ExecutorInfo m_info;
+    Lifetime m_lifetime;
+    std::optional<ExecutorTime> m_clock; // as of m_clockUpdated
+    Base::TimePoint m_clockUpdated;
+    Base::TimePoint m_leaseEnd;
+    std::map<TaskId, Run> m_runs;
+    Scheduling::SpeedEstimate m_speed;
+    int m_consecutiveFailures = 0;
+    JobId m_lastFailedJob;
+    Base::TimePoint m_unusableUntil;
+};
+
+} // namespace Dispatch
--- a/src/libs/dispatch/grouprights.cpp
+++ b/src/libs/dispatch/grouprights.cpp
@@ -170,7 +170,7 @@
         return;
     Group &group = it->second;
     const Base::TimePoint now = m_timers.now();
-    if (now - std::exchange(group.lastFenced, now) > Constants::FENCE_MEMORY_MS)
+    if (now - std::exchange(group.lastFenced, now) > Constants::FENCE_RETENTION_MS)
         group.fencedCount = 0;
     ++group.fencedCount;
     // Another daemon may own the group, and its claim be on its way. After a restart of all daemons
@@ -202,7 +202,7 @@
     if (!isReachable) {
         // When a cut heals, the owner beyond it is heard of a little later than its executors.
         group.nextProbe = now + Constants::PROBE_RETRY_MS;
-        group.notBefore = std::max(group.notBefore, now + Constants::HEAL_WAIT_MS);
+        group.notBefore = std::max(group.notBefore, now + Constants::RECONNECT_WAIT_MS);
         // All daemons on this side have waited through the cut. Their order counts from its end, or
         // they would all claim at once.
         group.vacantSince = group.notBefore;
--- a/src/libs/dispatch/jobcoordinator.cpp
+++ b/src/libs/dispatch/jobcoordinator.cpp
@@ -70,7 +70,7 @@
     // Estimates are off by half and more, so that a job is not rejected for its estimate alone
     // while nothing waits.
     const bool isQueueTooLong = wait && wait->count() > 0 && *wait + chain > useful
-                                && *wait > scaled(useful, Constants::FREE_WAIT_SHARE);
+                                && *wait > scaled(useful, Constants::NEGLIGIBLE_WAIT_SHARE);
     if (!wait || isQueueTooLong) {
         ++m_counters.rejected;
         const char *reason = wait ? "overloaded" : "noExecutors";
--- a/tests/auto/dispatch/fakeexecutors.h
+++ b/tests/auto/dispatch/fakeexecutors.h
@@ -1,5 +1,5 @@
-// Executors as the platform describes them: tokens, leases, listings, and orders that are lost,
-// carried out late, or answered out of order. Checks what must never happen on an executor.
+// Simulates executors as the platform specifies them: tokens, leases, listings, and orders that are
+// lost, carried out late, or answered out of order. Checks the invariants of an executor.
 #pragma once
 
 #include <dispatch/executorport.h>
@@ -21,7 +21,7 @@
 using namespace std::chrono_literals;
 using TestSupport::ManualTimers;
 
-/// What an order meets on its way.
+/// How an order and its answer are delivered.
 struct OrderFate
 {
     Base::Duration there{200us};
@@ -53,11 +53,11 @@
         FencingToken token;
         Base::TimePoint leaseEnd;
         std::map<TaskId, ActiveRun> runs;
-        std::map<TaskId, RunNumber> barred; // runs up to this one are refused
+        std::map<TaskId, RunNumber> refusedUpTo;
         std::vector<ListedEnd> ended;
         std::uint64_t lastEnd = 0;
         Base::Duration clockOffset{0};
-        std::vector<std::pair<EndSequence, std::function<void()>>> waiting; // holds
+        std::vector<std::pair<EndSequence, std::function<void()>>> waitingHolds;
     };
 
     void add(const ExecutorInfo &info)
@@ -89,7 +89,7 @@
         executor.runs.clear();
     }
 
-    /// Starts again under its id, with nothing known.
+    /// Restarts the executor under the same id, with its state lost.
     void restart(const ExecutorId &id)
     {
         crash(id);
@@ -130,7 +130,7 @@
         return std::nullopt;
     }
 
-    void prolong(Executor &executor, const std::optional<ExecutorTime> &leaseEnd)
+    void extendLease(Executor &executor, const std::optional<ExecutorTime> &leaseEnd)
     {
         if (!leaseEnd)
             return;
@@ -159,10 +159,10 @@
         const RunNumber number = it->second.number;
         m_running.erase(it->second.id);
         executor.runs.erase(it);
-        executor.barred[task] = std::max(executor.barred[task], number);
+        executor.refusedUpTo[task] = std::max(executor.refusedUpTo[task], number);
         executor.ended.push_back({EndSequence(++executor.lastEnd), task, number, end});
         ++endCounts[end];
-        for (auto &[seen, answer] : std::exchange(executor.waiting, {}))
+        for (auto &[seen, answer] : std::exchange(executor.waitingHolds, {}))
             answer();
     }
 
@@ -178,9 +178,9 @@
             result.outcome = OrderOutcome::Accepted;
             return result;
         }
-        const auto barred = executor.barred.find(order.task);
-        if (barred != executor.barred.end() && order.run <= barred->second) {
-            prolong(executor, order.leaseEnd);
+        const auto refusedUpTo = executor.refusedUpTo.find(order.task);
+        if (refusedUpTo != executor.refusedUpTo.end() && order.run <= refusedUpTo->second) {
+            extendLease(executor, order.leaseEnd);
             result.refusal = RefusalReason::OldRun;
             return result;
         }
@@ -190,11 +190,11 @@
         }
         if (running != executor.runs.end())
             violate("two runs of a task on one executor: " + toString(order.task));
-        prolong(executor, order.leaseEnd);
+        extendLease(executor, order.leaseEnd);
         ActiveRun run;
         run.number = order.run;
         run.shape = shapeOf(order);
-        run.id = ++m_lastRun;
+        run.id = ++m_lastRunId;
         Resources used = run.shape;
         for (const auto &[task, other] : executor.runs)
             used += other.shape;
@@ -246,7 +246,7 @@
                 });
             return result;
         }
-        executor.barred[order.task] = std::max(executor.barred[order.task], order.run);
+        executor.refusedUpTo[order.task] = std::max(executor.refusedUpTo[order.task], order.run);
         return result;
     }
 
@@ -263,7 +263,7 @@
     }
 
     ManualTimers &m_clock;
-    /// Pairs of daemon and executor that can't reach each other.
+    /// Pairs of daemon and executor that cannot reach each other.
     std::set<std::pair<std::string, ExecutorId>> cut;
     std::function<OrderFate()> chooseFate = [] { return OrderFate(); };
     std::function<Resources(const StartOrder &)> shapeOf;
@@ -279,10 +279,10 @@
 private:
     std::map<ExecutorId, Executor> m_executors;
     std::map<std::uint64_t, TaskId> m_running;
-    std::uint64_t m_lastRun = 0;
+    std::uint64_t m_lastRunId = 0;
 };
 
-/// The executors as one daemon reaches them.
+/// Access to the executors from one daemon.
 class FakeExecutorPort : public ExecutorPort
 {
 public:
@@ -292,7 +292,7 @@
         , m_daemon(std::move(daemon))
     {}
 
-    /// The daemon has ended.
+    /// The daemon has stopped: no more answers are delivered.
     void detach() { m_timers = nullptr; }
 
     void startTask(const ExecutorInfo &executor, const StartOrder &order,
@@ -312,23 +312,23 @@
     void hold(const ExecutorInfo &executor, const HoldOrder &order, HoldCallback callback) override
     {
         const OrderFate fate = m_executors.chooseFate();
-        const auto answer = answerer<HoldResult>(200ms + order.wait, std::move(callback));
+        const auto answer = makeAnswerCallback<HoldResult>(200ms + order.wait, std::move(callback));
         const auto respond = [this, fate, answer, id = executor.id] {
             const HoldResult result = m_executors.list(m_executors.at(id));
-            deliver(id, fate, [answer, result] { (*answer)(result); });
+            deliverAnswer(id, fate, [answer, result] { (*answer)(result); });
         };
-        arrive(executor, fate, [this, order, respond, answer, fate, id = executor.id] {
+        deliverOrder(executor, fate, [this, order, respond, answer, fate, id = executor.id] {
             FakeExecutors::Executor &it = m_executors.at(id);
             if (auto refused = m_executors.checkToken(it, order.token)) {
                 HoldResult result;
                 result.order = *refused;
-                deliver(id, fate, [answer, result] { (*answer)(result); });
+                deliverAnswer(id, fate, [answer, result] { (*answer)(result); });
                 return;
             }
             std::erase_if(it.ended, [&order](const ListedEnd &end) {
                 return end.sequence <= order.seenUpTo;
             });
-            m_executors.prolong(it, order.leaseEnd);
+            m_executors.extendLease(it, order.leaseEnd);
             if (!it.ended.empty() || order.wait.count() == 0) {
                 respond();
                 return;
@@ -338,7 +338,7 @@
                 if (!std::exchange(*isDone, true))
                     respond();
             };
-            it.waiting.emplace_back(order.seenUpTo, once);
+            it.waitingHolds.emplace_back(order.seenUpTo, once);
             m_executors.m_clock.schedule(order.wait, once);
         });
     }
@@ -349,17 +349,17 @@
               Action action)
     {
         const OrderFate fate = m_executors.chooseFate();
-        const auto answer = answerer<Result>(timeout, std::move(callback));
-        arrive(executor, fate, [this, action, answer, fate, id = executor.id] {
+        const auto answer = makeAnswerCallback<Result>(timeout, std::move(callback));
+        deliverOrder(executor, fate, [this, action, answer, fate, id = executor.id] {
             const Result result = action(m_executors.at(id));
-            deliver(id, fate, [answer, result] { (*answer)(result); });
+            deliverAnswer(id, fate, [answer, result] { (*answer)(result); });
         });
     }
 
-    /// Calls the callback once, with an unknown outcome if nothing comes within \a timeout.
+    /// Calls \a callback once, with an unknown outcome if there is no answer within \a timeout.
     template<class Result, class Callback>
-    std::shared_ptr<std::function<void(const Result &)>> answerer(Base::Duration timeout,
-                                                                  Callback callback)
+    std::shared_ptr<std::function<void(const Result &)>> makeAnswerCallback(Base::Duration timeout,
+                                                                            Callback callback)
     {
         const auto isDone = std::make_shared<bool>(false);
         auto answer = std::make_shared<std::function<void(const Result &)>>(
@@ -371,22 +371,24 @@
         return answer;
     }
 
-    void arrive(const ExecutorInfo &executor, const OrderFate &fate, std::function<void()> action)
+    void deliverOrder(const ExecutorInfo &executor, const OrderFate &fate,
+                      std::function<void()> action)
     {
         if (fate.isLost)
             return;
-        m_executors.m_clock.schedule(fate.there + fate.lateBy, [this, id = executor.id,
-                                                                lifetime = executor.lifetime,
-                                                                action, late = fate.lateBy] {
-            // A late order waits at the executor, beyond any cut.
-            const FakeExecutors::Executor &it = m_executors.at(id);
-            const bool isThere = late.count() > 0 ? it.isUp : m_executors.isReachable(m_daemon, id);
-            if (isThere && it.info.lifetime == lifetime)
-                action();
-        });
+        m_executors.m_clock.schedule(
+            fate.there + fate.lateBy,
+            [this, id = executor.id, lifetime = executor.lifetime, action, late = fate.lateBy] {
+                // A late order has already reached the executor, so a partition does not affect it.
+                const FakeExecutors::Executor &it = m_executors.at(id);
+                const bool isDelivered =
+                    late.count() > 0 ? it.isUp : m_executors.isReachable(m_daemon, id);
+                if (isDelivered && it.info.lifetime == lifetime)
+                    action();
+            });
     }
 
-    void deliver(const ExecutorId &id, const OrderFate &fate, std::function<void()> action)
+    void deliverAnswer(const ExecutorId &id, const OrderFate &fate, std::function<void()> action)
     {
         if (fate.isAnswerLost || fate.lateBy.count() > 0)
             return;
@@ -397,7 +399,7 @@
     }
 
     FakeExecutors &m_executors;
-    Base::Timers *m_timers; // null once the daemon has ended; its orders may still arrive
+    Base::Timers *m_timers; // null after detach(); orders sent before that may still arrive
     const std::string m_daemon;
 };
 
--- a/tests/auto/dispatch/tst_dispatchparts.cpp
+++ b/tests/auto/dispatch/tst_dispatchparts.cpp
@@ -1,7 +1,7 @@
-// Parts of the dispatch library on their own.
+// Unit tests of the classes of the dispatch library.
 #undef BOOST_TEST_MODULE
 #include <dispatch/dispatchconstants.h>
-#include <dispatch/executorledger.h>
+#include <dispatch/executorstate.h>
 #include <dispatch/groupdirectory.h>
 #include <dispatch/grouprights.h>
 #include <dispatch/jobcoordinator.h>
@@ -26,38 +26,38 @@
     BOOST_TEST(room.places({1000, 10, 3}) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(ledgerHasNoRoomWhileAnUnknownRunIsThere)
+BOOST_AUTO_TEST_CASE(executorHasNoFreeResourcesWhileARunIsUnclaimed)
 {
     ExecutorInfo info;
     info.capacity = {16000, 1000, 0};
-    ExecutorLedger ledger(info);
-    BOOST_TEST(ledger.freeRoom().cpuMillis == 0U);
-    ledger.isLooked = true;
-    BOOST_TEST(ledger.freeRoom().cpuMillis == 16000U);
+    ExecutorState executor(info);
+    BOOST_TEST(executor.freeResources().cpuMillis == 0U);
+    executor.hasListing = true;
+    BOOST_TEST(executor.freeResources().cpuMillis == 16000U);
     Run run;
     run.isClaimed = false;
-    ledger.runs().emplace(TaskId{JobId("j"), 0, 0, 0}, run);
-    BOOST_TEST(ledger.freeRoom().cpuMillis == 0U);
+    executor.runs().emplace(TaskId{JobId("j"), 0, 0, 0}, run);
+    BOOST_TEST(executor.freeResources().cpuMillis == 0U);
 }
 
-// Failures of one job that can never be done must not eject the executors that try it.
+// Guards against a job that always fails and so ejects every executor that runs it.
 BOOST_AUTO_TEST_CASE(failuresOfOneJobCountOnce)
 {
-    ExecutorLedger ledger{ExecutorInfo()};
+    ExecutorState executor{ExecutorInfo()};
     for (int i = 0; i < 10; ++i)
-        BOOST_TEST(!ledger.runFailed(JobId("poison"), T0));
-    BOOST_TEST(!ledger.runFailed(JobId("second"), T0));
-    BOOST_TEST(ledger.runFailed(JobId("third"), T0));
+        BOOST_TEST(!executor.runFailed(JobId("poison"), T0));
+    BOOST_TEST(!executor.runFailed(JobId("second"), T0));
+    BOOST_TEST(executor.runFailed(JobId("third"), T0));
 }
 
 BOOST_AUTO_TEST_CASE(leaseEndFollowsTheExecutorsClock)
 {
-    ExecutorLedger ledger{ExecutorInfo()};
-    BOOST_TEST(!ledger.nextLeaseEnd(T0).has_value());
-    ledger.clockSeen(ExecutorTime(5000), T0);
-    BOOST_TEST(ledger.nextLeaseEnd(T0 + 100ms)->count() == 6100);
-    ledger.clockSeen(ExecutorTime(4000), T0 + 50ms); // overtaken on its way
-    BOOST_TEST(ledger.nextLeaseEnd(T0 + 100ms)->count() == 6100);
+    ExecutorState executor{ExecutorInfo()};
+    BOOST_TEST(!executor.nextLeaseEnd(T0).has_value());
+    executor.updateClock(ExecutorTime(5000), T0);
+    BOOST_TEST(executor.nextLeaseEnd(T0 + 100ms)->count() == 6100);
+    executor.updateClock(ExecutorTime(4000), T0 + 50ms); // arrives out of order
+    BOOST_TEST(executor.nextLeaseEnd(T0 + 100ms)->count() == 6100);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -111,8 +111,8 @@
     BOOST_TEST(!table.match("one.example", "/c").has_value());
 }
 
-// A stale read of the store must not bring an older version back.
-BOOST_AUTO_TEST_CASE(versionsNeverGoBack)
+// Guards against a stale read of the store that restores an older version.
+BOOST_AUTO_TEST_CASE(olderVersionsAreIgnored)
 {
     QueueTable table;
     BOOST_TEST(table.apply(state(5)));
@@ -169,14 +169,16 @@
     }
 }
 
-// Jobs that arrive between two load reports must not all go to the same free room.
-BOOST_FIXTURE_TEST_CASE(countsWhatWasSentSinceTheReport, TwoGroups)
+// Guards against jobs that arrive between two load reports and are all placed on the same free
+// resources.
+BOOST_FIXTURE_TEST_CASE(countsBatchesSentSinceTheReport, TwoGroups)
 {
     directory.loadReceived(load("near", {16000}));
     directory.loadReceived(load("far", {16000}));
     directory.batchSent(GroupId("near"), 1, request(2));
     BOOST_TEST(directory.place(request(2)).front().group.value() == "far");
-    // A report that does not include the batch changes nothing, one that does frees the room.
+    // A report that does not include the batch changes nothing; one that does frees the
+    // resources.
     directory.loadReceived(load("near", {16000}, 0));
     BOOST_TEST(directory.place(request(2)).front().group.value() == "far");
     directory.loadReceived(load("near", {16000}, 1));
@@ -230,9 +232,9 @@
     return job;
 }
 
-// During a cut tasks were placed at an owner that could not be reached, again with every tick until
-// the deadline, though others had room.
-BOOST_FIXTURE_TEST_CASE(tasksOfAnUnreachableOwnerGoElsewhereAtOnce, ::directory::TwoGroups)
+// During a network partition, tasks were placed at an unreachable owner, again with every tick
+// until the deadline, although other groups had free resources.
+BOOST_FIXTURE_TEST_CASE(tasksOfAnUnreachableOwnerArePlacedElsewhereAtOnce, ::directory::TwoGroups)
 {
     directory.loadReceived(::directory::load("near", {16000}));
     directory.loadReceived(::directory::load("far", {16000, 16000}));
@@ -249,8 +251,8 @@
     BOOST_TEST(sent == 4U);
 }
 
-// An owner that looked only at the executor of the last report started the task a second time: the
-// owner before it had started it elsewhere and was lost before it reported so.
+// An owner that listed only the executor of the last report started the task a second time: the
+// previous owner had started it elsewhere and failed before it reported that.
 BOOST_FIXTURE_TEST_CASE(executorIsNamedOnlyToTheNextOwner, ::directory::TwoGroups)
 {
     directory.loadReceived(::directory::load("near", {16000}));
@@ -288,8 +290,9 @@
     void probeGroup(const GroupId &) override {}
 };
 
-// After a cut the peer states how long it heard nothing. A connection that is newer than that
-// statement was reset for it, which kept the daemons apart for another second.
+// After a network partition, a peer states for how long it has heard nothing. A connection that was
+// newer than that statement was reset because of it, which separated the daemons for another
+// second.
 BOOST_AUTO_TEST_CASE(newConnectionIsNotReset)
 {
     TestSupport::ManualTimers timers;
