--- a/src/libs/dispatch/groupownership.cpp
+++ b/src/libs/dispatch/groupownership.cpp
@@ -172,7 +172,7 @@
         return;
     Group &group = it->second;
     const Base::TimePoint now = m_timers.now();
-    if (now - std::exchange(group.lastFenced, now) > Constants::FENCE_MEMORY_MS)
+    if (now - std::exchange(group.lastFenced, now) > Constants::FENCE_RETENTION_MS)
         group.fencedCount = 0;
     ++group.fencedCount;
     // Another daemon may own the group, and its claim may be in transit. After a restart of all
@@ -206,7 +206,7 @@
         // When a partition heals, the executors become reachable slightly before the owner's claim
         // arrives.
         group.nextProbe = now + Constants::PROBE_RETRY_MS;
-        group.earliestClaim = std::max(group.earliestClaim, now + Constants::HEAL_WAIT_MS);
+        group.earliestClaim = std::max(group.earliestClaim, now + Constants::RECONNECT_WAIT_MS);
         // The group has been vacant during the whole partition for all daemons on this side. The
         // delays by rank start at its end, or all of them would claim at the same time.
         group.vacantSince = group.earliestClaim;
--- a/src/libs/dispatch/jobcoordinator.cpp
+++ b/src/libs/dispatch/jobcoordinator.cpp
@@ -70,7 +70,7 @@
     // Estimates can be off by half or more, so a job is not rejected for its estimate alone while
     // there is no queue.
     const bool isQueueTooLong = wait && wait->count() > 0 && *wait + chain > usefulTime
-                                && *wait > scaled(usefulTime, Constants::FREE_WAIT_SHARE);
+                                && *wait > scaled(usefulTime, Constants::NEGLIGIBLE_WAIT_SHARE);
     if (!wait || isQueueTooLong) {
         ++m_counters.rejected;
         const char *reason = wait ? "overloaded" : "noExecutors";
