--- a/src/libs/base/asiotimers.cpp
+++ b/src/libs/base/asiotimers.cpp
@@ -1,4 +1,4 @@
-// Timers on Asio: one steady_timer per pending callback, addressed by id.
+// Timers based on Asio: one steady_timer per pending callback, keyed by id.
 #include "asiotimers.h"
 
 #include <asio/io_context.hpp>
@@ -40,7 +40,7 @@
         // A cancelled timer must not touch the object, which may be gone.
         if (ec == asio::error::operation_aborted)
             return;
-        // A timer that expired before cancel() is still queued; its id is no longer pending.
+        // The handler of a timer that expired before cancel() is still queued; its id is not pending.
         if (m_d->pending.erase(id) == 0)
             return;
         callback();
--- a/src/libs/base/asiotimers.h
+++ b/src/libs/base/asiotimers.h
@@ -1,4 +1,4 @@
-// The Timers interface on an Asio loop and the steady clock.
+// Implements the Timers interface with an Asio event loop and the steady clock.
 #pragma once
 
 #include "timers.h"
@@ -11,7 +11,7 @@
 
 namespace Base {
 
-/// Timers of the daemon's event loop. Lives on that loop's thread.
+/// Timers of the daemon's event loop. Use it only on the thread of that loop.
 class AsioTimers : public Timers
 {
 public:
--- a/src/libs/base/baseconstants.h
+++ b/src/libs/base/baseconstants.h
@@ -3,7 +3,7 @@
 
 namespace Base::Constants {
 
-/// Bounds the cost of a fault that repeats with every request.
-constexpr int MAX_LINES_PER_EVENT_AND_SECOND = 20;
+/// Limits the cost of logging an error that recurs with every request.
+constexpr int MAX_LINES_PER_EVENT_PER_SECOND = 20;
 
 } // namespace Base::Constants
--- a/src/libs/base/failure.h
+++ b/src/libs/base/failure.h
@@ -1,5 +1,5 @@
-// Typed failures. An absl::Status carries a FailureCode as its payload; the message only explains
-// it, and code never branches on the message.
+// Typed failures. An absl::Status carries a FailureCode as its payload. The message is for humans
+// only; code never branches on it.
 #pragma once
 
 #include <absl/status/status.h>
@@ -9,11 +9,11 @@
 
 namespace Base {
 
-/// Every way in which an operation can fail. The names are part of the callers' interface.
+/// Reasons why an operation can fail. The names are part of the caller API.
 enum class FailureCode {
     None,
     BadRequest,          ///< Malformed input.
-    TooLarge,            ///< A size or count bound is exceeded.
+    TooLarge,            ///< A size or count limit is exceeded.
     UnknownKind,         ///< The manifest in force does not declare the request kind.
     UnknownTeam,         ///< The manifest in force does not declare the team.
     UnknownRequest,      ///< No record of this request.
@@ -24,12 +24,12 @@
     ReplicationFailed,   ///< The record could not be replicated.
     Overloaded,          ///< Admission control refused the request.
     QuotaExceeded,       ///< The team is over its quota.
-    DeadlineImpossible,  ///< No answer is possible before the deadline.
+    DeadlineImpossible,  ///< No response is possible before the deadline.
     Unservable,          ///< No declared upstream can ever run the request.
     DeadlineExceeded,    ///< The deadline passed.
     Cancelled,           ///< The caller cancelled the request.
     TaskFailed,          ///< A worker ran a task and reported an error.
-    WorkerLost,          ///< The fate of a started task can't be established.
+    WorkerLost,          ///< The outcome of a started task can't be determined.
     KnowledgeLost,       ///< Records of the shard were lost; the key may have run before.
     Draining,            ///< The daemon is shutting down.
     Starting,            ///< The daemon has no manifest yet.
@@ -42,7 +42,7 @@
     InvalidManifest,     ///< A manifest is faulty.
     PlacementChanged,    ///< A manifest changes the placement of keys.
     Timeout,             ///< No response in time.
-    Internal             ///< A broken invariant.
+    Internal             ///< An invariant was violated.
 };
 
 /// camelCase name of \a code, as it appears in JSON and logs.
@@ -54,7 +54,7 @@
 absl::Status makeFailure(FailureCode code, std::string_view message);
 /// The code carried by \a status; None for an OK status, Internal if it carries none.
 FailureCode failureCode(const absl::Status &status);
-/// The explaining text of \a status.
+/// The message of \a status.
 std::string failureMessage(const absl::Status &status);
 
 } // namespace Base
--- a/src/libs/base/hash.cpp
+++ b/src/libs/base/hash.cpp
@@ -1,4 +1,4 @@
-// xxHash64 behind a C++ signature.
+// Wraps xxHash64.
 #include "hash.h"
 
 #include <xxhash.h>
--- a/src/libs/base/hash.h
+++ b/src/libs/base/hash.h
@@ -1,5 +1,5 @@
-// Hashes that are the same on every host and in every version. Placement rests on them, so
-// std::hash, which may differ between builds, is not used for it.
+// Hashes that are the same on every host and in every version. Placement depends on that, so
+// std::hash, which may differ between builds, can't be used for it.
 #pragma once
 
 #include <cstdint>
--- a/src/libs/base/ids.h
+++ b/src/libs/base/ids.h
@@ -13,7 +13,7 @@
 
 namespace Base {
 
-/// Textual identifier. Ordered and hashable, so it can address objects in containers.
+/// Textual identifier. Ordered and hashable, so it can be used as a container key.
 template<class Tag>
 class Id
 {
@@ -34,7 +34,7 @@
     std::string m_value;
 };
 
-/// Unsigned counter or index with a type of its own.
+/// Strongly typed unsigned counter or index.
 template<class Tag>
 class Number
 {
@@ -64,7 +64,7 @@
 using UpstreamId = Id<struct UpstreamIdTag>;
 
 using Epoch = Number<struct EpochTag>;
-/// Distinguishes the runs of one daemon id; a restarted daemon has a new, higher one.
+/// Distinguishes successive processes with one daemon id; increases with every restart.
 using Incarnation = Number<struct IncarnationTag>;
 using Revision = Number<struct RevisionTag>;
 using TaskIndex = Number<struct TaskIndexTag>;
@@ -80,7 +80,7 @@
     auto operator<=>(const RequestId &) const = default; // NOLINT(modernize-use-nullptr)
 };
 
-/// A shard of the key space. It lives in its home failure domain and never moves to another one.
+/// A shard of the key space. It belongs to its home failure domain and never moves to another.
 struct ShardId
 {
     FailureDomainId domain;
--- a/src/libs/base/jsonnesting.cpp
+++ b/src/libs/base/jsonnesting.cpp
@@ -1,4 +1,4 @@
-// Counting of brackets outside of strings.
+// Tracks the bracket depth outside of strings.
 #include "jsonnesting.h"
 
 namespace Base {
--- a/src/libs/base/jsonnesting.h
+++ b/src/libs/base/jsonnesting.h
@@ -1,4 +1,4 @@
-// Bound on the nesting of JSON from other parties. The JSON library parses any depth but writes
+// Limits the nesting depth of untrusted JSON. The JSON library parses any depth but serializes
 // recursively, so that a body of a few 100 kB of brackets would overflow the stack.
 #pragma once
 
@@ -7,8 +7,8 @@
 
 namespace Base {
 
-/// Whether the arrays and objects of the JSON \a text are nested deeper than \a maxDepth. For text
-/// that is not JSON the result tells nothing.
+/// Whether the arrays and objects of the JSON \a text are nested deeper than \a maxDepth. The
+/// result is meaningless if \a text is not valid JSON.
 bool isNestedDeeper(std::string_view text, std::size_t maxDepth);
 
 } // namespace Base
--- a/src/libs/base/log.cpp
+++ b/src/libs/base/log.cpp
@@ -1,5 +1,5 @@
-// Formats and limits log lines. A mutex guards the state, since curl's resolver and tests may log
-// from other threads.
+// Formats and rate-limits log lines. A mutex protects the state, since curl's resolver and tests
+// may log from other threads.
 #include "log.h"
 
 #include "baseconstants.h"
@@ -14,7 +14,7 @@
 
 namespace Base {
 
-struct RepeatLimit
+struct RateLimit
 {
     std::chrono::steady_clock::time_point windowStart;
     int lines = 0;
@@ -27,7 +27,7 @@
     LogLevel level = LogLevel::Info;
     std::FILE *stream = stderr;
     std::string context;
-    std::map<std::string, RepeatLimit, std::less<>> limits;
+    std::map<std::string, RateLimit, std::less<>> rateLimits;
 };
 
 static LogState &state()
@@ -81,13 +81,14 @@
     line += '"';
 }
 
-/// Returns false if the line is over the limit; \a dropped is what earlier windows dropped.
-static bool passesLimit(LogState &s, std::string_view event, int &dropped)
+/// Returns false if the line exceeds the limit. Sets \a dropped to the number of lines dropped in
+/// the previous window when a new one begins.
+static bool passesRateLimit(LogState &s, std::string_view event, int &dropped)
 {
-    auto it = s.limits.find(event);
-    if (it == s.limits.end())
-        it = s.limits.emplace(std::string(event), RepeatLimit()).first;
-    RepeatLimit &limit = it->second;
+    auto it = s.rateLimits.find(event);
+    if (it == s.rateLimits.end())
+        it = s.rateLimits.emplace(std::string(event), RateLimit()).first;
+    RateLimit &limit = it->second;
     const auto now = std::chrono::steady_clock::now();
     if (now - limit.windowStart >= std::chrono::seconds(1)) {
         limit.windowStart = now;
@@ -95,7 +96,7 @@
         dropped = limit.dropped;
         limit.dropped = 0;
     }
-    if (limit.lines >= Constants::MAX_LINES_PER_EVENT_AND_SECOND) {
+    if (limit.lines >= Constants::MAX_LINES_PER_EVENT_PER_SECOND) {
         ++limit.dropped;
         return false;
     }
@@ -146,7 +147,7 @@
     if (level < s.level)
         return;
     int dropped = 0;
-    if (!passesLimit(s, event, dropped))
+    if (!passesRateLimit(s, event, dropped))
         return;
     const auto wall =
         std::chrono::time_point_cast<std::chrono::milliseconds>(std::chrono::system_clock::now());
--- a/src/libs/base/log.h
+++ b/src/libs/base/log.h
@@ -1,4 +1,4 @@
-// Structured log lines on standard error: time, level, event, then key=value fields.
+// Structured logging: each line has time, level, event, then key=value fields.
 #pragma once
 
 #include "ids.h"
@@ -58,15 +58,15 @@
 /// Parses "debug", "info", "warning" or "error"; returns false for anything else.
 bool parseLogLevel(std::string_view name, LogLevel &level);
 
-/// Where lines go; standard error unless changed.
+/// Output stream of log lines; standard error by default.
 enum class LogStream { StandardError, StandardOutput };
 void setLogStream(LogStream stream);
 
-/// Adds a field, such as the daemon id, to every later line.
+/// Adds a field, such as the daemon id, to all subsequent lines.
 void setLogContext(std::string_view name, std::string_view value);
 
-/// Writes one line. Each event name is limited to Constants::MAX_LINES_PER_EVENT_AND_SECOND lines a
-/// second; the first line of the next second states how many were dropped.
+/// Writes one line. Each event is limited to Constants::MAX_LINES_PER_EVENT_PER_SECOND lines per
+/// second; the first line after that second reports how many were dropped.
 void log(LogLevel level, std::string_view event, std::initializer_list<LogField> fields);
 
 } // namespace Base
--- a/src/libs/base/softassert.cpp
+++ b/src/libs/base/softassert.cpp
@@ -1,4 +1,4 @@
-// Reports broken assumptions.
+// Reports failed soft assertions.
 #include "softassert.h"
 
 #include "log.h"
--- a/src/libs/base/softassert.h
+++ b/src/libs/base/softassert.h
@@ -1,4 +1,4 @@
-// Soft assertions: a broken assumption is logged with file and line, then a stated action follows.
+// Soft assertions: a failed check is logged with file and line, then the given action is executed.
 // With EP_SOFT_ASSERT=abort in the environment, as in tests, the process aborts instead.
 #pragma once
 
--- a/src/libs/base/timers.h
+++ b/src/libs/base/timers.h
@@ -1,4 +1,4 @@
-// Monotonic time and one-shot timers behind an interface, so that tests own the clock.
+// Monotonic time and one-shot timers behind an interface, so that tests can control the clock.
 #pragma once
 
 #include "ids.h"
@@ -13,14 +13,14 @@
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 using TimerId = Number<struct TimerIdTag>;
 
-/// The clock and the timers of one event loop. All calls happen on that loop.
+/// The clock and the timers of one event loop. Call it only from that loop's thread.
 class Timers
 {
 public:
     virtual ~Timers() = default;
 
     virtual TimePoint now() const = 0;
-    /// Calls \a callback once after \a delay. Never calls it from within this function.
+    /// Calls \a callback once after \a delay, never from within this function.
     virtual TimerId schedule(Duration delay, std::function<void()> callback) = 0;
     /// Cancels a timer; unknown or expired ids are ignored.
     virtual void cancel(TimerId id) = 0;
--- a/src/libs/base/utf8.cpp
+++ b/src/libs/base/utf8.cpp
@@ -1,4 +1,4 @@
-// Recognises well-formed UTF-8 sequences.
+// Validates UTF-8 sequences.
 #include "utf8.h"
 
 namespace Base {
@@ -12,7 +12,8 @@
     if (first < 0x80)
         return 1;
     std::size_t n = 0;
-    // The range of the second byte excludes overlong forms, surrogates and too high code points.
+    // The range of the second byte excludes overlong forms, surrogates and code points over
+    // U+10FFFF.
     unsigned low = 0x80;
     unsigned high = 0xbf;
     if (first >= 0xc2 && first <= 0xdf) {
--- a/src/libs/base/utf8.h
+++ b/src/libs/base/utf8.h
@@ -1,4 +1,4 @@
-// Checks of UTF-8 text that comes from callers and peers.
+// Validation of UTF-8 text received from callers and peers.
 #pragma once
 
 #include <cstddef>
--- a/src/libs/kernel/service.h
+++ b/src/libs/kernel/service.h
@@ -1,4 +1,4 @@
-// The interface of everything that the daemon starts and stops.
+// Interface of the daemon's services.
 #pragma once
 
 #include <absl/status/status.h>
@@ -9,16 +9,16 @@
 
 class ServiceRegistry;
 
-/// A part of the daemon with a life cycle. It is created, started in the order of registration,
-/// then drained and stopped in reverse order. All calls happen on the daemon's loop.
+/// A component of the daemon. Services are started in the order of their registration, then drained
+/// and stopped in reverse order. All functions are called on the daemon's event loop.
 class Service
 {
 public:
     virtual ~Service() = default;
 
-    /// Looks up the services that this one needs and begins to work.
+    /// Looks up the required services and starts operation.
     virtual absl::Status start(const ServiceRegistry &registry) = 0;
-    /// Finishes or hands over work in progress, then calls \a done, once.
+    /// Finishes or hands over work in progress, then calls \a done exactly once.
     virtual void drain(std::function<void()> done) { done(); }
     /// Releases sockets and timers. No callback may run after it.
     virtual void stop() {}
--- a/src/libs/kernel/servicenames.h
+++ b/src/libs/kernel/servicenames.h
@@ -1,4 +1,4 @@
-// Names under which the daemon's services find each other.
+// Names by which the daemon's services are looked up in the ServiceRegistry.
 #pragma once
 
 namespace Kernel::ServiceNames {
--- a/src/libs/kernel/serviceregistry.cpp
+++ b/src/libs/kernel/serviceregistry.cpp
@@ -1,4 +1,4 @@
-// Life cycle of the services.
+// Starts, drains and stops the services.
 #include "serviceregistry.h"
 
 #include <base/log.h>
@@ -35,20 +35,20 @@
     return absl::OkStatus();
 }
 
-void ServiceRegistry::drainBefore(std::size_t index, std::function<void()> done)
+void ServiceRegistry::drainFirst(std::size_t count, std::function<void()> done)
 {
-    if (index == 0) {
+    if (count == 0) {
         done();
         return;
     }
-    m_entries[index - 1].service->drain([this, index, done = std::move(done)]() mutable {
-        drainBefore(index - 1, std::move(done));
+    m_entries[count - 1].service->drain([this, count, done = std::move(done)]() mutable {
+        drainFirst(count - 1, std::move(done));
     });
 }
 
 void ServiceRegistry::drainAll(std::function<void()> done)
 {
-    drainBefore(m_startedCount, std::move(done));
+    drainFirst(m_startedCount, std::move(done));
 }
 
 void ServiceRegistry::stopAll()
--- a/src/libs/kernel/serviceregistry.h
+++ b/src/libs/kernel/serviceregistry.h
@@ -1,4 +1,4 @@
-// The micro-kernel: owns the daemon's services and lets them find each other by name.
+// Registry of the daemon's services, which look each other up by name.
 #pragma once
 
 #include "service.h"
@@ -13,23 +13,23 @@
 
 namespace Kernel {
 
-/// Owns all services of a daemon. Names are unique.
+/// Owns all services of a daemon and manages their life cycle. Names are unique.
 class ServiceRegistry
 {
 public:
-    /// Adds a service; the order of additions is the order of starting.
+    /// Adds a service. Services are started in the order in which they were added.
     void add(std::string name, std::unique_ptr<Service> service);
 
-    /// The service \a name as the interface T, or null if there is none of that name and type.
+    /// Returns the service \a name as interface T, or null if no service has that name and type.
     template<class T>
     T *find(std::string_view name) const
     {
         return dynamic_cast<T *>(findService(name));
     }
 
-    /// Starts all services; stops at the first failure and returns it.
+    /// Starts all services; returns the first failure without starting the rest.
     absl::Status startAll();
-    /// Drains the started services one after the other in reverse order, then calls \a done.
+    /// Drains the started services one by one in reverse order, then calls \a done.
     void drainAll(std::function<void()> done);
     /// Stops the started services in reverse order.
     void stopAll();
@@ -42,7 +42,8 @@
     };
 
     Service *findService(std::string_view name) const;
-    void drainBefore(std::size_t index, std::function<void()> done);
+    /// Drains the first \a count services in reverse order.
+    void drainFirst(std::size_t count, std::function<void()> done);
 
     std::vector<Entry> m_entries;
     std::size_t m_startedCount = 0; // entries before this index are started
