--- a/src/libs/base/asiotimers.cpp
+++ b/src/libs/base/asiotimers.cpp
@@ -40,7 +40,8 @@
         // A cancelled timer must not touch the object, which may be gone.
         if (ec == asio::error::operation_aborted)
             return;
-        // The handler of a timer that expired before cancel() is still queued; its id is not pending.
+        // The handler of a timer that expired before cancel() is still queued, but its id is no
+        // longer pending.
         if (m_d->pending.erase(id) == 0)
             return;
         callback();
--- a/src/libs/http/client.cpp
+++ b/src/libs/http/client.cpp
@@ -1,5 +1,5 @@
-// libcurl's multi interface driven by an Asio loop: curl names the sockets and the timeout that it
-// waits for, the loop waits and reports back.
+// Drives libcurl's multi interface from an Asio event loop: curl requests the sockets and the
+// timeout to wait for, the loop waits and notifies curl.
 #include "client.h"
 
 #include "httpconstants.h"
@@ -34,7 +34,7 @@
     ResponseHandler handler;
 };
 
-/// A socket that curl waits for.
+/// A socket that curl has asked to wait for.
 struct WatchedSocket
 {
     explicit WatchedSocket(asio::io_context &io, int fd)
@@ -43,8 +43,8 @@
 
     asio::posix::stream_descriptor descriptor;
     int interest = CURL_POLL_NONE;
-    bool isReadArmed = false;
-    bool isWriteArmed = false;
+    bool isReadWaitPending = false;
+    bool isWriteWaitPending = false;
 };
 
 struct Client::Private
@@ -54,7 +54,7 @@
 
     static int socketCallback(CURL *, curl_socket_t fd, int what, void *user, void *)
     {
-        static_cast<Private *>(user)->watchSocket(fd, what);
+        static_cast<Private *>(user)->updateSocket(fd, what);
         return 0;
     }
     static int timerCallback(CURLM *, long milliseconds, void *user)
@@ -63,11 +63,11 @@
         return 0;
     }
 
-    void watchSocket(curl_socket_t fd, int what);
-    void arm(curl_socket_t fd, std::uint64_t generation);
+    void updateSocket(curl_socket_t fd, int what);
+    void startWaits(curl_socket_t fd, std::uint64_t generation);
     void socketReady(curl_socket_t fd, std::uint64_t generation, int event);
     void setTimeout(long milliseconds);
-    void driveSocket(curl_socket_t fd, int event);
+    void performSocketAction(curl_socket_t fd, int event);
     void finishTransfers();
     void finishTransfer(CURL *easy, CURLcode code);
     void release(Transfer &transfer);
@@ -81,11 +81,11 @@
     std::uint64_t lastId = 0;
     std::uint64_t lastGeneration = 0;
     std::unordered_map<std::uint64_t, std::unique_ptr<Transfer>> transfers;
-    // The generation tells a reused descriptor number from the one a stale wait was set for.
+    // The generation distinguishes a reused descriptor number from that of a stale wait.
     std::unordered_map<curl_socket_t, std::pair<std::uint64_t, std::unique_ptr<WatchedSocket>>>
         sockets;
     std::vector<CURL *> idleHandles;
-    // Handlers of a destroyed client must not run; loop callbacks hold this.
+    // Captured by Asio handlers, so that they do nothing after the client is destroyed.
     std::shared_ptr<bool> isAlive = std::make_shared<bool>(true);
 };
 
@@ -135,7 +135,7 @@
         it.second.second->descriptor.release();
 }
 
-void Client::Private::watchSocket(curl_socket_t fd, int what)
+void Client::Private::updateSocket(curl_socket_t fd, int what)
 {
     const auto it = sockets.find(fd);
     if (what == CURL_POLL_REMOVE) {
@@ -151,17 +151,17 @@
     }
     auto &[generation, socket] = sockets.at(fd);
     socket->interest = what;
-    arm(fd, generation);
+    startWaits(fd, generation);
 }
 
-void Client::Private::arm(curl_socket_t fd, std::uint64_t generation)
+void Client::Private::startWaits(curl_socket_t fd, std::uint64_t generation)
 {
     const auto it = sockets.find(fd);
     if (it == sockets.end() || it->second.first != generation)
         return;
     WatchedSocket &socket = *it->second.second;
-    if ((socket.interest & CURL_POLL_IN) && !socket.isReadArmed) {
-        socket.isReadArmed = true;
+    if ((socket.interest & CURL_POLL_IN) && !socket.isReadWaitPending) {
+        socket.isReadWaitPending = true;
         socket.descriptor.async_wait(
             asio::posix::stream_descriptor::wait_read,
             [this, alive = isAlive, fd, generation](const asio::error_code &ec) {
@@ -169,8 +169,8 @@
                     socketReady(fd, generation, CURL_CSELECT_IN);
             });
     }
-    if ((socket.interest & CURL_POLL_OUT) && !socket.isWriteArmed) {
-        socket.isWriteArmed = true;
+    if ((socket.interest & CURL_POLL_OUT) && !socket.isWriteWaitPending) {
+        socket.isWriteWaitPending = true;
         socket.descriptor.async_wait(
             asio::posix::stream_descriptor::wait_write,
             [this, alive = isAlive, fd, generation](const asio::error_code &ec) {
@@ -187,10 +187,10 @@
         return;
     WatchedSocket &socket = *it->second.second;
     const bool isRead = event == CURL_CSELECT_IN;
-    (isRead ? socket.isReadArmed : socket.isWriteArmed) = false;
+    (isRead ? socket.isReadWaitPending : socket.isWriteWaitPending) = false;
     if (socket.interest & (isRead ? CURL_POLL_IN : CURL_POLL_OUT))
-        driveSocket(fd, event);
-    arm(fd, generation);
+        performSocketAction(fd, event);
+    startWaits(fd, generation);
 }
 
 void Client::Private::setTimeout(long milliseconds)
@@ -202,11 +202,11 @@
     timer.expires_after(std::chrono::milliseconds(milliseconds));
     timer.async_wait([this, alive = isAlive, generation](const asio::error_code &ec) {
         if (*alive && !ec && generation == timerGeneration)
-            driveSocket(CURL_SOCKET_TIMEOUT, 0);
+            performSocketAction(CURL_SOCKET_TIMEOUT, 0);
     });
 }
 
-void Client::Private::driveSocket(curl_socket_t fd, int event)
+void Client::Private::performSocketAction(curl_socket_t fd, int event)
 {
     int running = 0;
     curl_multi_socket_action(multi, fd, event, &running);
@@ -316,9 +316,9 @@
         curl_easy_setopt(easy, CURLOPT_POSTFIELDS, transfer.requestBody.c_str());
         return;
     }
-    // curl silently repeats a request whose reused connection closes without an answer, unless it
-    // would have to rewind a body that it can't rewind. A read callback without a seek callback
-    // makes it fail instead.
+    // curl silently retries a request if a reused connection is closed before a response, unless
+    // it would have to rewind a body that can't be rewound. A read callback without a seek
+    // callback makes the request fail instead.
     curl_easy_setopt(easy, CURLOPT_READFUNCTION, readCallback);
     curl_easy_setopt(easy, CURLOPT_READDATA, &transfer);
 }
--- a/src/libs/http/client.h
+++ b/src/libs/http/client.h
@@ -1,4 +1,4 @@
-// HTTP client on the daemon's loop, with connection reuse.
+// HTTP client on the daemon's event loop, with connection reuse.
 #pragma once
 
 #include <absl/status/status.h>
@@ -25,17 +25,17 @@
     Base::Duration timeout{std::chrono::seconds(2)};
     std::string authorization;        // sent if not empty
     std::vector<std::string> headers; // further header lines, "Name: value"
-    /// Bound on opening a connection; 0 stands for the library's default.
+    /// Timeout for opening a connection; 0 stands for Constants::CONNECT_TIMEOUT_MS.
     Base::Duration connectTimeout{0};
-    /// A request that is not idempotent is never sent a second time by the library, not even if a
-    /// kept-alive connection is closed before an answer arrives.
+    /// A request that is not idempotent is never retried by libcurl, not even if a kept-alive
+    /// connection is closed before a response arrives.
     bool idempotent = true;
 };
 
 struct ClientResponse
 {
-    /// OK if an HTTP response of any status arrived whole. peerUnreachable: no byte of the request
-    /// was sent. fateUnknown: the request may have been received.
+    /// OK if a complete HTTP response of any status was received. peerUnreachable: no byte of the
+    /// request was sent. fateUnknown: the request may have been received.
     absl::Status status;
     int httpStatus = 0;
     std::string body;
@@ -44,17 +44,17 @@
 using ClientRequestId = Base::Number<struct ClientRequestIdTag>;
 using ResponseHandler = std::function<void(ClientResponse)>;
 
-/// Sends requests on an Asio loop through libcurl. Handlers run on the loop and never from within
-/// send().
+/// Sends requests through libcurl on an Asio event loop. Handlers are called on that loop, never
+/// from within send().
 class Client
 {
 public:
-    /// \a maxConnectionsPerHost bounds parallel connections; further requests wait.
+    /// \a maxConnectionsPerHost limits parallel connections; further requests are queued.
     Client(asio::io_context &io, long maxConnectionsPerHost);
     ~Client();
 
     ClientRequestId send(ClientRequest request, ResponseHandler handler);
-    /// Drops a request; its handler is not called. Unknown ids are ignored.
+    /// Cancels a request without calling its handler. Unknown ids are ignored.
     void cancel(ClientRequestId id);
     std::size_t pendingCount() const;
 
--- a/src/libs/http/server.cpp
+++ b/src/libs/http/server.cpp
@@ -1,4 +1,4 @@
-// The HTTP server on RESTinio, on an external Asio loop.
+// HTTP server based on RESTinio, on an external Asio event loop.
 #include "server.h"
 
 #include "httpconstants.h"
@@ -12,7 +12,7 @@
 
 namespace Http {
 
-/// Reports the end of each connection.
+/// Reports closed connections.
 class CloseListener
 {
 public:
@@ -120,7 +120,7 @@
 
     asio::io_context &io;
     ServerOptions options;
-    // Shared with requests under way, which may outlive the server object.
+    // Shared with requests in progress, which may outlive the server object.
     std::shared_ptr<RequestHandler> handler;
     std::unique_ptr<RestinioServer> server;
     bool isOpen = false;
@@ -173,12 +173,12 @@
             .address(options.address)
             .incoming_http_msg_limits(limits)
             .max_parallel_connections(options.maxConnections)
-            .read_next_http_message_timelimit(Constants::READ_TIMEOUT_S)
-            .write_http_response_timelimit(Constants::READ_TIMEOUT_S)
+            .read_next_http_message_timelimit(Constants::READ_WRITE_TIMEOUT_S)
+            .write_http_response_timelimit(Constants::READ_WRITE_TIMEOUT_S)
             .handle_request_timeout(Constants::REQUEST_HANDLING_TIMEOUT_S)
             .separate_accept_and_create_connect(false)
-            // A second message is awaited while the first is handled, since only a read
-            // shows that the caller has left.
+            // The next message is read while the first is handled, since only a read detects
+            // that the client has disconnected.
             .max_pipelined_requests(options.connectionClosed ? 2 : 1)
             .connection_state_listener(std::make_shared<CloseListener>(options.connectionClosed))
             .request_handler([handler = m_d->handler, options](const auto &handle) {
--- a/src/libs/http/server.h
+++ b/src/libs/http/server.h
@@ -1,4 +1,4 @@
-// HTTP server on the daemon's loop.
+// HTTP server on the daemon's event loop.
 #pragma once
 
 #include <absl/status/status.h>
@@ -28,11 +28,11 @@
     std::string rawPath;          // as received, without the query
     std::string host;             // value of the Host header
     std::string deadline;         // value of the header that ServerOptions::deadlineHeader names
-    std::uint64_t connection = 0; // tells connections of this server apart
+    std::uint64_t connection = 0; // identifies the connection within this server
 
     /// Value of query parameter \a name, or an empty string.
     std::string parameter(const std::string &name) const;
-    /// Whether the path equals \a pattern, in which "*" stands for any one segment.
+    /// Whether the method is \a verb and the path matches \a pattern, where "*" is any one segment.
     bool matches(std::string_view verb, std::initializer_list<std::string_view> pattern) const;
 };
 
@@ -50,21 +50,21 @@
     std::string address;
     std::uint16_t port = 0;
     std::uint32_t maxBodyBytes = 8U << 20;
-    std::uint32_t maxHeaderBytes = 16U << 10; // of one header field
+    std::uint32_t maxHeaderBytes = 16U << 10; // per header field
     std::uint32_t maxConnections = 1000;
-    std::string deadlineHeader; // name of a header to pass on in Request::deadline
-    /// Called when a connection has ended. If it is set, connections are watched while a request is
-    /// handled, so that a caller that leaves is noticed.
+    std::string deadlineHeader; // name of the header that is copied to Request::deadline
+    /// Called when a connection is closed. If it is set, connections are also read while a request
+    /// is handled, so that a client that disconnects is detected.
     std::function<void(std::uint64_t connection)> connectionClosed;
 };
 
-/// Answers a request, once, now or later, from the loop's thread. Dropping it without a call leaves
-/// the caller without an answer until the connection times out.
+/// Sends the response to a request. Call it once, immediately or later, on the event loop's thread.
+/// If it is destroyed without a call, the client gets no response until the connection times out.
 using Respond = std::function<void(Response)>;
 using RequestHandler = std::function<void(Request, Respond)>;
 
-/// One listening port. Requests beyond the bounds are answered by the library with 4xx and do not
-/// reach the handler.
+/// Listens on one port. Requests that exceed the limits are rejected by RESTinio with 4xx and do
+/// not reach the handler.
 class Server
 {
 public:
@@ -73,8 +73,8 @@
 
     /// Errors: invalidSettings if the port can't be opened.
     absl::Status open();
-    /// Stops listening and closes idle connections. Responses under way are still sent while the
-    /// loop runs.
+    /// Stops listening and closes idle connections. Responses in progress are still sent while the
+    /// event loop runs.
     void close();
 
 private:
--- a/src/libs/http/statuscodes.h
+++ b/src/libs/http/statuscodes.h
@@ -1,4 +1,4 @@
-// Status codes of HTTP that the project sends or expects.
+// HTTP status codes that are sent or expected.
 #pragma once
 
 namespace Http::Status {
@@ -9,7 +9,7 @@
 constexpr int BAD_METHOD = 405;
 constexpr int CONFLICT = 409;
 constexpr int GONE = 410;
-/// The request reached a server that it was not meant for.
+/// The request was sent to the wrong server.
 constexpr int MISDIRECTED = 421;
 constexpr int TOO_MANY = 429;
 constexpr int UNAVAILABLE = 503;
--- a/tests/auto/http/tst_http.cpp
+++ b/tests/auto/http/tst_http.cpp
@@ -1,4 +1,4 @@
-// Tests of the HTTP library on loopback.
+// Tests of the HTTP library over the loopback interface.
 #include <base/failure.h>
 #include <http/client.h>
 #include <http/server.h>
@@ -35,7 +35,7 @@
     return options;
 }
 
-// Guards against lost fields on the way through server and client.
+// Guards against parts of a request or response that client or server drop.
 BOOST_AUTO_TEST_CASE(requestsReachTheHandler)
 {
     asio::io_context io;
@@ -47,7 +47,7 @@
     });
     BOOST_TEST_REQUIRE(server.open().ok());
     Client client(io, 4);
-    int answers = 0;
+    int responseCount = 0;
     for (const bool idempotent : {true, false}) {
         ClientRequest request;
         request.method = "POST";
@@ -59,16 +59,16 @@
             BOOST_TEST(response.status.ok());
             BOOST_TEST(response.httpStatus == 201);
             BOOST_TEST(response.body == "bodyBearer t");
-            if (++answers == 2)
+            if (++responseCount == 2)
                 io.stop();
         });
     }
     io.run_for(std::chrono::seconds(20));
-    BOOST_TEST(answers == 2);
+    BOOST_TEST(responseCount == 2);
 }
 
 // Guards against bodies over the limit reaching the handler.
-BOOST_AUTO_TEST_CASE(oversizedBodiesAreRefused)
+BOOST_AUTO_TEST_CASE(oversizedBodiesAreRejected)
 {
     asio::io_context io;
     const std::uint16_t port = freePort(io);
@@ -83,19 +83,19 @@
     request.method = "POST";
     request.url = urlOf(port, "/");
     request.body.assign(2000, 'x');
-    bool isAnswered = false;
+    bool isResponseReceived = false;
     client.send(request, [&](const ClientResponse &response) {
-        isAnswered = true;
+        isResponseReceived = true;
         BOOST_TEST((!response.status.ok() || response.httpStatus >= 400));
         io.stop();
     });
     io.run_for(std::chrono::seconds(20));
-    BOOST_TEST(isAnswered);
+    BOOST_TEST(isResponseReceived);
     BOOST_TEST(!isHandled);
 }
 
-// Guards against a refused connection being reported as a request of unknown fate.
-BOOST_AUTO_TEST_CASE(refusedConnectionIsCertainlyNotSent)
+// Guards against a refused connection being reported as a request that may have been received.
+BOOST_AUTO_TEST_CASE(refusedConnectionIsPeerUnreachable)
 {
     asio::io_context io;
     Client client(io, 4);
@@ -111,7 +111,7 @@
     BOOST_TEST((code == Base::FailureCode::PeerUnreachable));
 }
 
-/// A server that answers the first request of each connection and closes on the second.
+/// A server that responds to the first request of each connection and closes it on the second.
 class ClosingServer
 {
 public:
@@ -155,11 +155,11 @@
                                    ++m_requestCount;
                                    if (++connection->requestCount > 1)
                                        return; // closes the connection
-                                   answer(connection);
+                                   sendResponse(connection);
                                });
     }
 
-    void answer(const std::shared_ptr<Connection> &connection)
+    void sendResponse(const std::shared_ptr<Connection> &connection)
     {
         static const std::string response = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
         asio::async_write(connection->socket, asio::buffer(response),
@@ -173,7 +173,7 @@
     int m_requestCount = 0;
 };
 
-// Guards against libcurl repeating a start whose reused connection was closed without an answer:
+// Guards against libcurl retrying a request whose reused connection was closed before a response:
 // the worker may have started the task, and would start it twice.
 BOOST_AUTO_TEST_CASE(nonIdempotentRequestIsSentOnce)
 {
