--- a/src/libs/settings/addresses.cpp
+++ b/src/libs/settings/addresses.cpp
@@ -1,4 +1,4 @@
-// Address checks on inet_pton.
+// Validates addresses with inet_pton.
 #include "addresses.h"
 
 #include <arpa/inet.h>
--- a/src/libs/settings/daemonsettings.cpp
+++ b/src/libs/settings/daemonsettings.cpp
@@ -1,4 +1,4 @@
-// Reads and checks the settings of a daemon. docs/settings.md describes the members.
+// Reads and validates the settings of a daemon. docs/settings.md describes the members.
 #include "daemonsettings.h"
 
 #include "addresses.h"
@@ -59,8 +59,8 @@
     }
 }
 
-/// Whether two sockets can't listen on both endpoints on one host.
-static bool collide(const Endpoint &a, const Endpoint &b)
+/// Whether one host can't listen on both endpoints at the same time.
+static bool endpointsConflict(const Endpoint &a, const Endpoint &b)
 {
     if (a.port == 0 || a.port != b.port)
         return false;
@@ -70,11 +70,11 @@
 
 static void checkOwnEndpoints(JsonReader &reader, const DaemonSettings &settings)
 {
-    if (collide(settings.operators, settings.callers))
+    if (endpointsConflict(settings.operators, settings.callers))
         reader.addFault("operators", "must differ from callers");
-    if (collide(settings.peerEndpoint, settings.callers))
+    if (endpointsConflict(settings.peerEndpoint, settings.callers))
         reader.addFault("peerEndpoint", "must differ from callers");
-    if (collide(settings.peerEndpoint, settings.operators))
+    if (endpointsConflict(settings.peerEndpoint, settings.operators))
         reader.addFault("peerEndpoint", "must differ from operators");
 }
 
--- a/src/libs/settings/daemonsettings.h
+++ b/src/libs/settings/daemonsettings.h
@@ -33,7 +33,7 @@
     bool operator==(const PeerSettings &) const = default;
 };
 
-/// Bounds of what callers can make the daemon hold.
+/// Limits of the resources that callers can use.
 struct LimitSettings
 {
     std::uint32_t maxBodyBytes = 8U << 20;
@@ -42,16 +42,16 @@
     std::uint32_t maxConcurrentJobs = 2000;
     std::uint32_t maxTasksPerJob = 2000;
     std::uint32_t maxQueuedTasks = 200'000;
-    std::uint64_t maxRecordBytes = 128ULL << 20; // all records held, of owned and replicated shards
-    std::chrono::seconds retention{600};         // of outcomes
+    std::uint64_t maxRecordBytes = 128ULL << 20; // all records, of owned and replicated shards
+    std::chrono::seconds retention{600};         // of request outcomes
 
     bool operator==(const LimitSettings &) const = default;
 };
 
 struct DrainSettings
 {
-    std::chrono::milliseconds notice{2000};  // from unreadiness to refusing new submissions
-    std::chrono::milliseconds grace{30'000}; // after that, at most this long for work in flight
+    std::chrono::milliseconds notice{2000};  // from reporting not ready to refusing submissions
+    std::chrono::milliseconds grace{30'000}; // after that, time limit for work in flight
 
     bool operator==(const DrainSettings &) const = default;
 };
@@ -75,8 +75,8 @@
     bool operator==(const DaemonSettings &) const = default;
 };
 
-/// Parses and checks \a text, JSON with comments. Adds every fault to \a faults: unknown keys,
-/// wrong types, missing members and values out of range. Returns nothing if there is any.
+/// Parses and validates \a text, JSON with comments. Adds every fault to \a faults: unknown keys,
+/// wrong types, missing members and values out of range. Returns std::nullopt if there is any.
 std::optional<DaemonSettings> parseDaemonSettings(std::string_view text, FaultList &faults);
 
 } // namespace Settings
--- a/src/libs/settings/faultlist.cpp
+++ b/src/libs/settings/faultlist.cpp
@@ -1,4 +1,4 @@
-// Collects faults and renders them as one failure.
+// Collects faults and combines them into one status.
 #include "faultlist.h"
 
 #include <utility>
@@ -18,7 +18,7 @@
     for (const Fault &it : m_faults) {
         if (!text.empty())
             text += "; ";
-        // An empty JSON pointer means the document.
+        // An empty JSON pointer refers to the whole document.
         if (!it.path.empty())
             text += it.path + ": ";
         text += it.message;
--- a/src/libs/settings/faultlist.h
+++ b/src/libs/settings/faultlist.h
@@ -10,7 +10,7 @@
 
 namespace Settings {
 
-/// One fault and where it is.
+/// One fault and its location.
 struct Fault
 {
     std::string path; // JSON pointer such as /kinds/2/deadlineMs
@@ -26,7 +26,7 @@
 
     bool isEmpty() const { return m_faults.empty(); }
     const std::vector<Fault> &faults() const { return m_faults; }
-    /// OK if empty; else a failure of the first fault's code whose message lists every fault.
+    /// OK if empty; else a failure with the first fault's code and a message that lists all faults.
     absl::Status status() const;
 
 private:
--- a/src/libs/settings/jsonreader.cpp
+++ b/src/libs/settings/jsonreader.cpp
@@ -1,4 +1,4 @@
-// Walks a parsed document and collects faults.
+// Reads a parsed JSON document and collects faults.
 #include "jsonreader.h"
 
 #include <fmt/format.h>
@@ -14,7 +14,8 @@
 
 static constexpr std::size_t MAX_ID_LENGTH = 64;
 
-static std::string escaped(std::string_view name)
+/// Escapes \a name as a token of a JSON pointer.
+static std::string escapedToken(std::string_view name)
 {
     std::string result;
     for (const char c : name) {
@@ -28,12 +29,12 @@
     return result;
 }
 
-/// Follows the parser and reports members that occur twice in one object, which nlohmann::json
-/// accepts and resolves silently.
-class DuplicateFinder
+/// Parser callback that reports members that occur twice in one object, of which nlohmann::json
+/// silently keeps one.
+class DuplicateMemberDetector
 {
 public:
-    DuplicateFinder(FaultList &faults, Base::FailureCode code)
+    DuplicateMemberDetector(FaultList &faults, Base::FailureCode code)
         : m_faults(faults)
         , m_code(code)
     {}
@@ -47,7 +48,7 @@
             m_levels.push_back({event == Event::array_start, 0, {}, {}});
             break;
         case Event::key:
-            addName(parsed.get_ref<const std::string &>());
+            addMember(parsed.get_ref<const std::string &>());
             break;
         case Event::object_end:
         case Event::array_end:
@@ -63,20 +64,20 @@
 private:
     struct Level
     {
-        bool array = false;
+        bool isArray = false;
         std::size_t index = 0;
         std::string name; // of the current member
-        std::set<std::string> names;
+        std::set<std::string> memberNames;
     };
 
-    void addName(const std::string &name)
+    void addMember(const std::string &name)
     {
         m_levels.back().name = name;
-        if (m_levels.back().names.insert(name).second)
+        if (m_levels.back().memberNames.insert(name).second)
             return;
         std::string path;
         for (const Level &it : m_levels)
-            path += '/' + (it.array ? std::to_string(it.index) : escaped(it.name));
+            path += '/' + (it.isArray ? std::to_string(it.index) : escapedToken(it.name));
         m_faults.add(path, m_code, "the member occurs twice in one object");
     }
 
@@ -95,10 +96,10 @@
                FaultList &faults)
 {
     const std::size_t before = faults.faults().size();
-    DuplicateFinder finder(faults, code);
-    const auto callback = [&finder](int, nlohmann::json::parse_event_t event,
-                                    nlohmann::json &parsed) {
-        finder.handle(event, parsed);
+    DuplicateMemberDetector detector(faults, code);
+    const auto callback = [&detector](int, nlohmann::json::parse_event_t event,
+                                      nlohmann::json &parsed) {
+        detector.handle(event, parsed);
         return true;
     };
     try {
@@ -137,10 +138,10 @@
     return row.back();
 }
 
-/// The name among \a known that is closest to \a name, or nothing if none is close.
+/// The name in \a known that is most similar to \a name, or an empty string if none is similar.
 static std::string similarName(std::string_view name, const std::vector<std::string> &known)
 {
-    // Bounds the cost of the comparison, and no known name is that long.
+    // Limits the cost of the comparison; no known name is that long.
     if (name.size() > MAX_ID_LENGTH)
         return {};
     std::string best;
@@ -165,7 +166,7 @@
     , m_path(std::move(path))
     , m_faults(&faults)
     , m_code(code)
-    , m_faultsBefore(faults.faults().size())
+    , m_initialFaultCount(faults.faults().size())
 {
     if (!m_value)
         addFault({}, fmt::format("must be an object, not {}", value.type_name()));
@@ -173,7 +174,7 @@
 
 std::string JsonReader::pathOf(std::string_view name) const
 {
-    return name.empty() ? m_path : m_path + '/' + escaped(name);
+    return name.empty() ? m_path : m_path + '/' + escapedToken(name);
 }
 
 void JsonReader::addFault(std::string_view name, std::string message)
@@ -185,8 +186,8 @@
 {
     if (!m_value)
         return nullptr;
-    m_known.emplace_back(name);
-    const auto it = m_value->find(m_known.back());
+    m_readNames.emplace_back(name);
+    const auto it = m_value->find(m_readNames.back());
     if (it != m_value->end())
         return &*it;
     if (presence == Presence::Required)
@@ -332,8 +333,7 @@
     return m_faults->faults().size() == before;
 }
 
-bool JsonReader::runHandler(const nlohmann::json &value, std::string path,
-                            const ItemHandler &handler)
+bool JsonReader::readItem(const nlohmann::json &value, std::string path, const ItemHandler &handler)
 {
     JsonReader reader(value, std::move(path), *m_faults, m_code);
     if (!reader.m_value)
@@ -346,7 +346,7 @@
 bool JsonReader::readObject(std::string_view name, const ItemHandler &handler, Presence presence)
 {
     const nlohmann::json *value = member(name, presence);
-    return value && runHandler(*value, pathOf(name), handler);
+    return value && readItem(*value, pathOf(name), handler);
 }
 
 bool JsonReader::readObjects(std::string_view name, const ItemHandler &handler, Presence presence)
@@ -360,7 +360,7 @@
     }
     bool ok = true;
     for (std::size_t i = 0; i < value->size(); ++i)
-        ok = runHandler((*value)[i], pathOf(name) + '/' + std::to_string(i), handler) && ok;
+        ok = readItem((*value)[i], pathOf(name) + '/' + std::to_string(i), handler) && ok;
     return ok;
 }
 
@@ -369,9 +369,9 @@
     if (!m_value)
         return;
     for (const auto &it : m_value->items()) {
-        if (std::find(m_known.begin(), m_known.end(), it.key()) != m_known.end())
+        if (std::find(m_readNames.begin(), m_readNames.end(), it.key()) != m_readNames.end())
             continue;
-        const std::string hint = similarName(it.key(), m_known);
+        const std::string hint = similarName(it.key(), m_readNames);
         addFault(it.key(), hint.empty()
                                ? "unknown member"
                                : fmt::format("unknown member; did you mean \"{}\"?", hint));
--- a/src/libs/settings/jsonreader.h
+++ b/src/libs/settings/jsonreader.h
@@ -1,4 +1,4 @@
-// Checked reading of JSON with comments. Every fault is collected with its JSON pointer, so that
+// Validating reader of JSON with comments. Every fault is collected with its JSON pointer, so that
 // one run reports all of them.
 #pragma once
 
@@ -24,7 +24,7 @@
 enum class Presence { Required, Optional };
 
 /// Reads one JSON object. Each read function reports a missing required member, a wrong type or a
-/// value out of range, and leaves its output unchanged then. An absent optional member also leaves
+/// value out of range, and then leaves its output unchanged. An absent optional member also leaves
 /// the output unchanged. Call finish() after the last read.
 class JsonReader
 {
@@ -56,7 +56,7 @@
         return true;
     }
 
-    /// Reads an identifier: 1 to 64 letters, digits, '-', '_' and '.', so that it can stand in a
+    /// Reads an identifier: 1 to 64 letters, digits, '-', '_' and '.', so that it can be used in a
     /// URL path, a log line and before the ':' of a key.
     template<class Id>
     bool readId(std::string_view name, Id &out, Presence presence = Presence::Required)
@@ -68,7 +68,7 @@
         return true;
     }
 
-    /// Reads an array of identifiers of at least one item, all different.
+    /// Reads a non-empty array of distinct identifiers.
     template<class Id>
     bool readIds(std::string_view name, std::vector<Id> &out)
     {
@@ -88,7 +88,8 @@
     bool readObjects(std::string_view name, const ItemHandler &handler,
                      Presence presence = Presence::Required);
 
-    /// Reports the members that no read function asked for, with a hint if one is similar.
+    /// Reports the members that no read function has requested, with a similar name if there is
+    /// one.
     void finish();
 
     /// Adds a fault at the member \a name, or at this object if \a name is empty.
@@ -96,7 +97,7 @@
     /// JSON pointer of the member \a name, or of this object if \a name is empty.
     std::string pathOf(std::string_view name = {}) const;
     /// Whether a fault was found in this object or in one below it.
-    bool hasFaults() const { return m_faults->faults().size() > m_faultsBefore; }
+    bool hasFaults() const { return m_faults->faults().size() > m_initialFaultCount; }
 
 private:
     JsonReader(const nlohmann::json &value, std::string path, FaultList &faults,
@@ -107,14 +108,14 @@
                          std::uint64_t max, Presence presence);
     bool readIdText(std::string_view name, std::string &out, Presence presence);
     bool readIdTexts(std::string_view name, std::vector<std::string> &out);
-    bool runHandler(const nlohmann::json &value, std::string path, const ItemHandler &handler);
+    bool readItem(const nlohmann::json &value, std::string path, const ItemHandler &handler);
 
     const nlohmann::json *m_value; // an object, or null if the document is of another type
     std::string m_path;
     FaultList *m_faults;
     Base::FailureCode m_code;
-    std::size_t m_faultsBefore;
-    std::vector<std::string> m_known; // names asked for
+    std::size_t m_initialFaultCount;
+    std::vector<std::string> m_readNames; // members requested so far
 };
 
 } // namespace Settings
--- a/src/libs/settings/runtime.h
+++ b/src/libs/settings/runtime.h
@@ -1,4 +1,4 @@
-// What every service of a daemon is built on.
+// Objects shared by all services of a daemon.
 #pragma once
 
 #include "daemonsettings.h"
@@ -12,13 +12,13 @@
 
 namespace Settings {
 
-/// The loop, the clock and the settings of one daemon. Outlives all services.
+/// The event loop, the timers and the settings of one daemon. Outlives all services.
 struct Runtime
 {
     asio::io_context &io;
     Base::Timers &timers;
     const DaemonSettings &settings;
-    Base::Incarnation incarnation; // of this run
+    Base::Incarnation incarnation; // of this process
 };
 
 } // namespace Settings
--- a/tests/auto/base/tst_base.cpp
+++ b/tests/auto/base/tst_base.cpp
@@ -11,8 +11,8 @@
 
 using namespace Base;
 
-// Guards against a code that loses its type on the way through absl::Status.
-BOOST_AUTO_TEST_CASE(failureCodesSurviveStatus)
+// Guards against a failure code that is lost in the conversion to absl::Status and back.
+BOOST_AUTO_TEST_CASE(failureCodesRoundTripThroughStatus)
 {
     for (int i = 1; i <= static_cast<int>(FailureCode::Internal); ++i) {
         const auto code = static_cast<FailureCode>(i);
@@ -24,14 +24,14 @@
     }
 }
 
-// Guards against a hash that changes between builds: placement would move every key.
-BOOST_AUTO_TEST_CASE(stableHashHasPublishedValues)
+// Guards against a hash that changes between builds, which would change the placement of all keys.
+BOOST_AUTO_TEST_CASE(stableHashMatchesReferenceValues)
 {
     BOOST_TEST(stableHash("") == 0xEF46DB3751D8E999ULL);
     BOOST_TEST(stableHash("a") == 0xD24EC4F1A98C6E5BULL);
 }
 
-// Guards against timers that run out of order or that are lost when set from a callback.
+// Guards against timers that expire out of order or are lost when scheduled from a callback.
 BOOST_AUTO_TEST_CASE(manualTimersRunInOrder)
 {
     TestSupport::ManualTimers timers;
@@ -48,7 +48,7 @@
     BOOST_TEST(order == (std::vector<int>{1, 15, 2}), boost::test_tools::per_element());
 }
 
-// Guards against malformed text that passes for UTF-8 and breaks JSON, SVG or metrics output.
+// Guards against malformed text that is accepted as UTF-8 and breaks JSON, SVG or metrics output.
 BOOST_AUTO_TEST_CASE(utf8SequencesAreRecognised)
 {
     const std::pair<std::string_view, std::size_t> rows[] = {
@@ -56,10 +56,10 @@
         {"a", 1},
         {std::string_view("\0", 1), 1},
         {"\x7f", 1},
-        {"\x80", 0},     // continuation without a start
+        {"\x80", 0},     // continuation byte without a lead byte
         {"\xc1\xbf", 0}, // overlong
         {"\xc2\x80", 2},
-        {"\xc2", 0}, // cut off
+        {"\xc2", 0}, // truncated
         {"\xc2\x41", 0},
         {"\xe0\x9f\xbf", 0}, // overlong
         {"\xe0\xa0\x80z", 3},
--- a/tests/auto/settings/tst_settings.cpp
+++ b/tests/auto/settings/tst_settings.cpp
@@ -21,9 +21,9 @@
                                  true);
 }
 
-// Guards against examples that no longer match the reader, and against a deployment whose daemons
-// disagree about each other's endpoints.
-BOOST_AUTO_TEST_CASE(examplesParseAndAgree)
+// Guards against examples that no longer parse, and against a deployment whose daemons are
+// configured with different endpoints for the same peer.
+BOOST_AUTO_TEST_CASE(examplesAreValidAndConsistent)
 {
     for (const char *deployment : {"kalkan", "cevallos"}) {
         std::vector<DaemonSettings> all;
@@ -53,10 +53,10 @@
 {
     const char *patch;
     const char *path;
-    const char *message; // a part of it
+    const char *message; // expected substring
 };
 
-// Guards against a fault that is accepted, or reported at another place.
+// Guards against a fault that is accepted or reported with a wrong path.
 BOOST_AUTO_TEST_CASE(everyFaultIsReportedAtItsPath)
 {
     static const FaultCase CASES[] = {
@@ -131,13 +131,13 @@
     BOOST_TEST((Base::failureCode(faults.status()) == Base::FailureCode::InvalidSettings));
 }
 
-// Guards against a silent choice between two values of one member, and against syntax errors that
-// end the process.
+// Guards against duplicate members that are accepted silently, and against syntax errors that
+// terminate the process.
 BOOST_AUTO_TEST_CASE(malformedTextIsReported)
 {
-    FaultList twice;
-    BOOST_TEST(!parseDaemonSettings(R"({"a": [0, {"b": 1, "b": 2}]})", twice));
-    BOOST_TEST(twice.faults().front().path == "/a/1/b");
+    FaultList duplicateFaults;
+    BOOST_TEST(!parseDaemonSettings(R"({"a": [0, {"b": 1, "b": 2}]})", duplicateFaults));
+    BOOST_TEST(duplicateFaults.faults().front().path == "/a/1/b");
     for (const char *it : {"", "{", "[]", "{} {}", "{\"a\": 1e999}", "\xff", "/* {} "}) {
         FaultList faults;
         BOOST_TEST(!parseDaemonSettings(it, faults), it);
@@ -159,7 +159,7 @@
     BOOST_TEST(settings->platformTimeout.count() == 2000);
 }
 
-// Guards against names and trailing text where a numeric address is required.
+// Guards against host names and trailing text where a numeric address is required.
 BOOST_AUTO_TEST_CASE(urlsAreNumeric)
 {
     BOOST_TEST(isHttpUrl("http://127.0.0.1:65535"));
@@ -172,8 +172,8 @@
     BOOST_TEST(!isIpAddress(std::string_view("127.0.0.1\0x", 11)));
 }
 
-// Guards against documents that crash the reader, and against a result next to reported faults.
-BOOST_AUTO_TEST_CASE(mutatedSettingsParseOrGiveFaults)
+// Guards against documents that crash the reader, and against a result despite reported faults.
+BOOST_AUTO_TEST_CASE(mutatedSettingsParseOrReportFaults)
 {
     std::mt19937_64 random(1);
     const nlohmann::json valid = validDocument();
