--- a/src/libs/manifest/manifest.cpp
+++ b/src/libs/manifest/manifest.cpp
@@ -1,4 +1,4 @@
-// Placement of requests.
+// Maps requests to shards.
 #include "manifest.h"
 
 #include <base/hash.h>
@@ -6,11 +6,13 @@
 
 namespace Manifest {
 
-/// Seeds keep the choice of the domain and of the shard independent of each other.
+/// Different seeds make the hash of the domain and that of the shard independent of each other.
 static constexpr std::uint64_t DOMAIN_SEED = 1;
 static constexpr std::uint64_t SHARD_SEED = 2;
 
-static const Base::FailureDomainId *namedDomain(const Manifest &manifest, const std::string &key)
+/// The domain named by the part of \a key before the first colon; null if there is none.
+static const Base::FailureDomainId *domainFromPrefix(const Manifest &manifest,
+                                                     const std::string &key)
 {
     const std::size_t colon = key.find(':');
     if (colon == std::string::npos)
@@ -28,10 +30,10 @@
     std::string identity = request.team.value();
     identity += '\0';
     identity += request.key.value();
-    const Base::FailureDomainId *domain = namedDomain(manifest, request.key.value());
+    const Base::FailureDomainId *domain = domainFromPrefix(manifest, request.key.value());
     if (!domain) {
-        const std::uint64_t h = Base::stableHash(identity, DOMAIN_SEED);
-        domain = &manifest.domains[h % manifest.domains.size()];
+        const std::uint64_t hash = Base::stableHash(identity, DOMAIN_SEED);
+        domain = &manifest.domains[hash % manifest.domains.size()];
     }
     const std::uint64_t shard = Base::stableHash(identity, SHARD_SEED) % manifest.shardsPerDomain;
     return {*domain, Base::ShardIndex(shard)};
--- a/src/libs/manifest/manifest.h
+++ b/src/libs/manifest/manifest.h
@@ -1,4 +1,4 @@
-// The manifest model: what operators declare about kinds, upstreams and teams.
+// The manifest: request kinds, upstreams and teams as declared by the operators.
 #pragma once
 
 #include <base/ids.h>
@@ -11,7 +11,7 @@
 
 namespace Manifest {
 
-/// Resources of a task, or of an upstream for all its tasks together.
+/// Resources required by one task, or provided by an upstream to all its tasks together.
 struct Resources
 {
     double processors = 0;   // cores
@@ -21,14 +21,14 @@
     bool operator==(const Resources &) const = default;
 };
 
-/// A request kind that the interface still accepts.
+/// A kind of request that callers may submit.
 struct Kind
 {
     Base::KindId id;
-    bool job = false;        // several tasks under one answer
-    bool repeatable = false; // single requests only; a job is never repeatable
+    bool job = false;        // several tasks that share one answer
+    bool repeatable = false; // single requests only; never set for jobs
     std::chrono::milliseconds deadline{0};
-    std::chrono::milliseconds declaredRunTime{0}; // of one task, a hint
+    std::chrono::milliseconds declaredRunTime{0}; // of one task; a hint
     Resources resources;                          // of one task
     std::vector<Base::UpstreamGroupId> upstreamGroups;
     bool duplicateStragglers = false; // repeatable kinds only
@@ -36,7 +36,7 @@
     bool operator==(const Kind &) const = default;
 };
 
-/// One executor that runs tasks.
+/// An executor of tasks.
 struct Upstream
 {
     Base::UpstreamId id;
@@ -53,7 +53,7 @@
     bool operator==(const Upstream &) const = default;
 };
 
-/// A group of callers with a share and a quota.
+/// A group of callers with a scheduling weight and quotas.
 struct Team
 {
     Base::TeamId id;
@@ -64,15 +64,15 @@
     bool operator==(const Team &) const = default;
 };
 
-/// The weighing of response time against wasted messages.
+/// Trade-off between response time and wasted messages.
 struct Objective
 {
-    double wastedMessageCostMs = 0; // response time worth one wasted message
+    double wastedMessageCostMs = 0; // response time equivalent to one wasted message
 
     bool operator==(const Objective &) const = default;
 };
 
-/// One revision of the declaration. Immutable once accepted.
+/// One revision of the manifest. Immutable once accepted.
 struct Manifest
 {
     Base::Revision revision; // starts at 1
--- a/src/libs/manifest/manifestcheck.cpp
+++ b/src/libs/manifest/manifestcheck.cpp
@@ -1,4 +1,4 @@
-// Cross-checks of a manifest and of a pair of successive manifests.
+// Checks references within a manifest and the transition between two revisions.
 #include "manifestcheck.h"
 
 #include "manifestreader.h"
@@ -26,7 +26,7 @@
 }
 
 /// Calls \a handler with the index and the value of each item of \a array that was read into
-/// \a items. An id that occurs twice counts at its first place.
+/// \a items. Only the first occurrence of a duplicate id counts.
 template<class Items, class Handler>
 static void forEachItem(const nlohmann::json &document, const char *array, const Items &items,
                         const Handler &handler)
@@ -70,15 +70,15 @@
 static void checkKind(std::size_t index, const Kind &kind, const Manifest &manifest,
                       Settings::FaultList &faults)
 {
-    // Whether an upstream of each domain that has upstreams of the kind's groups is large enough.
+    // For each domain with upstreams of the kind's groups: whether one of them is large enough.
     std::map<Base::FailureDomainId, bool> servable;
-    std::set<Base::UpstreamGroupId> found;
+    std::set<Base::UpstreamGroupId> foundGroups;
     for (const auto &[id, upstream] : manifest.upstreams) {
         const auto &groups = kind.upstreamGroups;
         if (std::find(groups.begin(), groups.end(), upstream.group) == groups.end())
             continue;
-        found.insert(upstream.group);
-        // An unknown domain has been reported at the upstream.
+        foundGroups.insert(upstream.group);
+        // An unknown domain has already been reported for the upstream.
         const auto &domains = manifest.domains;
         if (std::find(domains.begin(), domains.end(), upstream.domain) == domains.end())
             continue;
@@ -86,7 +86,7 @@
         domainServable = domainServable || fits(kind.resources, upstream.resources);
     }
     for (std::size_t i = 0; i < kind.upstreamGroups.size(); ++i) {
-        if (!found.contains(kind.upstreamGroups[i])) {
+        if (!foundGroups.contains(kind.upstreamGroups[i])) {
             faults.add(
                 arrayPath("kinds", index, "upstreamGroups") + '/' + std::to_string(i), CODE,
                 fmt::format("no upstream is in the group \"{}\"", kind.upstreamGroups[i].value()));
@@ -121,12 +121,12 @@
     }
     if (next.domains != current.domains) {
         faults.add("/domains", Base::FailureCode::PlacementChanged,
-                   "must be the current domains in the same order, or keys would move to another "
-                   "home");
+                   "must list the current domains in the same order; otherwise keys would move "
+                   "to another home domain");
     }
     if (next.shardsPerDomain != current.shardsPerDomain) {
         faults.add("/shardsPerDomain", Base::FailureCode::PlacementChanged,
-                   fmt::format("must stay {}, or keys would move to another shard",
+                   fmt::format("must stay {}; otherwise keys would move to another shard",
                                current.shardsPerDomain));
     }
 }
--- a/src/libs/manifest/manifestcheck.h
+++ b/src/libs/manifest/manifestcheck.h
@@ -1,4 +1,4 @@
-// Checks between the parts of a manifest.
+// Checks references between the parts of a manifest.
 #pragma once
 
 #include "manifest.h"
@@ -8,7 +8,7 @@
 
 namespace Manifest::Internal {
 
-/// Which parts were read without a fault. References into a faulty part are not checked, since they
+/// Parts that were read without a fault. References into a faulty part are not checked, since they
 /// would be reported as unknown.
 struct ReadParts
 {
@@ -18,8 +18,8 @@
 
 /// Checks that the groups and domains that \a manifest names exist, that no two upstreams share a
 /// URL, and that each kind fits an upstream in every domain that has upstreams of its groups.
-/// \a document, from which the manifest was read, gives the paths. Items without a valid id are
-/// skipped, as they have been reported.
+/// \a document is the JSON source of \a manifest and supplies the paths of faults. Skips items
+/// without a valid id, which have already been reported.
 void checkReferences(const nlohmann::json &document, const Manifest &manifest,
                      const ReadParts &parts, Settings::FaultList &faults);
 
--- a/src/libs/manifest/manifestconstants.h
+++ b/src/libs/manifest/manifestconstants.h
@@ -1,4 +1,4 @@
-// Bounds of manifest values.
+// Limits of manifest values.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 namespace Manifest::Constants {
 
 constexpr std::uint64_t MAX_SHARDS_PER_DOMAIN = 1024;
-/// One hour; the dispatcher is built for tasks below one second.
+/// One hour. The dispatcher is designed for tasks that take less than one second.
 constexpr std::uint64_t MAX_DEADLINE_MS = 3'600'000;
 constexpr std::uint64_t MAX_SLOTS = 10'000;
 constexpr std::uint64_t MAX_CONNECTIONS = 10'000;
--- a/src/libs/manifest/manifestreader.cpp
+++ b/src/libs/manifest/manifestreader.cpp
@@ -1,4 +1,4 @@
-// Reads manifests. docs/manifest.md describes the members.
+// Parses manifests. The members are documented in docs/manifest.md.
 #include "manifestreader.h"
 
 #include "manifestcheck.h"
@@ -32,7 +32,7 @@
     return resources;
 }
 
-/// Adds \a value to \a items, unless its id is taken or faulty.
+/// Adds \a value to \a items. A duplicate id is a fault; an invalid id has already been reported.
 template<class Items, class Item>
 static void insertItem(JsonReader &reader, Items &items, Item value)
 {
--- a/src/libs/manifest/manifestreader.h
+++ b/src/libs/manifest/manifestreader.h
@@ -1,4 +1,4 @@
-// Reads, checks, writes and compares manifests.
+// Parses, checks, writes and compares manifests.
 #pragma once
 
 #include "manifest.h"
@@ -12,18 +12,18 @@
 
 namespace Manifest {
 
-/// Parses and checks \a text, JSON with comments. Adds every fault to \a faults. Returns nothing if
-/// there is any.
+/// Parses and checks \a text, which is JSON with comments. Adds every fault to \a faults and
+/// returns std::nullopt if there are any.
 std::optional<Manifest> parseManifest(std::string_view text, Settings::FaultList &faults);
 
-/// Checks that \a next may follow \a current: a higher revision and the same placement (code
-/// placementChanged).
+/// Checks that \a next is a valid successor of \a current: its revision is higher, and requests
+/// stay on their shards (otherwise code placementChanged).
 void checkSuccessor(const Manifest &current, const Manifest &next, Settings::FaultList &faults);
 
-/// Canonical JSON: equal manifests give equal text.
+/// Returns canonical JSON: equal manifests give equal text.
 std::string writeManifest(const Manifest &manifest);
 
-/// Hex digest of a manifest body, the name of the body in the object store.
+/// Hexadecimal digest of \a body, which identifies it in the object store.
 std::string manifestDigest(std::string_view body);
 
 /// One line for each difference, such as "kinds/probe/deadlineMs: 300 -> 250".
--- a/src/libs/manifest/manifestwriter.cpp
+++ b/src/libs/manifest/manifestwriter.cpp
@@ -1,4 +1,4 @@
-// Writes, digests and compares manifests.
+// Writes, hashes and compares manifests.
 #include "manifestreader.h"
 
 #include <fmt/format.h>
@@ -99,11 +99,11 @@
 std::string manifestDigest(std::string_view body)
 {
     std::array<unsigned char, EVP_MAX_MD_SIZE> digest{};
-    unsigned int n = 0;
-    if (EVP_Digest(body.data(), body.size(), digest.data(), &n, EVP_sha256(), nullptr) != 1)
+    unsigned int size = 0;
+    if (EVP_Digest(body.data(), body.size(), digest.data(), &size, EVP_sha256(), nullptr) != 1)
         return {};
     std::string hex;
-    for (unsigned int i = 0; i < n; ++i)
+    for (unsigned int i = 0; i < size; ++i)
         hex += fmt::format("{:02x}", digest[i]);
     return hex;
 }
@@ -132,26 +132,26 @@
         ids.insert(it.first);
     for (const auto &id : ids) {
         const std::string path = name + '/' + id.value();
-        const auto a = from.find(id);
-        const auto b = to.find(id);
-        if (a == from.end())
-            lines.push_back(path + ": added " + dump(toJson(b->second), -1));
-        else if (b == to.end())
+        const auto fromItem = from.find(id);
+        const auto toItem = to.find(id);
+        if (fromItem == from.end())
+            lines.push_back(path + ": added " + dump(toJson(toItem->second), -1));
+        else if (toItem == to.end())
             lines.push_back(path + ": removed");
         else
-            diffMembers(path, toJson(a->second), toJson(b->second), lines);
+            diffMembers(path, toJson(fromItem->second), toJson(toItem->second), lines);
     }
 }
 
 std::vector<std::string> diffManifests(const Manifest &from, const Manifest &to)
 {
     std::vector<std::string> lines;
-    const auto head = [](const Manifest &manifest) {
+    const auto topLevelMembers = [](const Manifest &manifest) {
         return OrderedJson{{"revision", manifest.revision.value()},
                            {"domains", toJson(manifest.domains)},
                            {"shardsPerDomain", manifest.shardsPerDomain}};
     };
-    diffMembers({}, head(from), head(to), lines);
+    diffMembers({}, topLevelMembers(from), topLevelMembers(to), lines);
     diffItems("kinds", from.kinds, to.kinds, lines);
     diffItems("upstreams", from.upstreams, to.upstreams, lines);
     diffItems("teams", from.teams, to.teams, lines);
--- a/tests/auto/manifest/tst_manifest.cpp
+++ b/tests/auto/manifest/tst_manifest.cpp
@@ -24,7 +24,7 @@
     return *manifest;
 }
 
-/// Two domains; group a is in both, group b only in the first one.
+/// Two domains; group a has upstreams in both, group b only in the first one.
 static const nlohmann::json &validDocument()
 {
     static const auto DOCUMENT = nlohmann::json::parse(R"({
@@ -48,7 +48,7 @@
     return DOCUMENT;
 }
 
-// Guards against examples that no longer match the reader or the stated sizes.
+// Guards against examples that no longer parse or no longer have the documented sizes.
 BOOST_AUTO_TEST_CASE(examplesParse)
 {
     const auto kalkan = parsed(exampleText("kalkan"));
@@ -73,11 +73,11 @@
 {
     const char *patch;
     const char *path;
-    const char *message; // a part of it
+    const char *message; // substring
 };
 
-// Guards against a fault that is accepted, or reported at another place.
-BOOST_AUTO_TEST_CASE(everyFaultIsReportedAtItsPath)
+// Guards against a fault that is accepted or reported under the wrong path.
+BOOST_AUTO_TEST_CASE(faultsAreReportedAtTheirPaths)
 {
     static const FaultCase CASES[] = {
         {"[{'op':'replace','path':'/revision','value':0}]", "/revision", "from 1"},
@@ -154,11 +154,12 @@
 struct SuccessorCase
 {
     const char *patch;
-    const char *path; // of the only fault, or null if the successor is valid
+    const char *path; // of the only fault; null if the successor is valid
     FailureCode code;
 };
 
-// Guards against a revision that gives a key a second home, and against a revision that reverts.
+// Guards against a revision that moves keys to another domain or shard, and against one that is not
+// higher than the current revision.
 BOOST_AUTO_TEST_CASE(successorKeepsPlacement)
 {
     static const SuccessorCase CASES[] = {
@@ -188,8 +189,8 @@
     }
 }
 
-// Guards against a writer that loses a member, or whose text depends on anything but the value.
-BOOST_AUTO_TEST_CASE(writtenManifestsReadBack)
+// Guards against a writer that loses a member or gives different text for equal manifests.
+BOOST_AUTO_TEST_CASE(writtenManifestsRoundTrip)
 {
     for (const auto &text :
          {validDocument().dump(), exampleText("kalkan"), exampleText("cevallos")}) {
@@ -198,12 +199,12 @@
         BOOST_TEST((parsed(written) == manifest));
         BOOST_TEST(writeManifest(parsed(written)) == written);
     }
-    // The published digest of "abc".
+    // SHA-256 test vector.
     BOOST_TEST(manifestDigest("abc")
                == "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
 }
 
-// Guards against a change that the diff does not show.
+// Guards against changes that are missing in the diff.
 BOOST_AUTO_TEST_CASE(diffNamesEachChange)
 {
     const auto from = parsed(validDocument().dump());
@@ -228,9 +229,9 @@
     BOOST_TEST(diffManifests(from, from).empty());
 }
 
-// Guards against documents that crash the reader, against a result next to reported faults, and
-// against accepted manifests that can't be written and read back.
-BOOST_AUTO_TEST_CASE(mutatedManifestsParseOrGiveFaults)
+// Guards against documents that crash the parser, against a manifest returned along with faults,
+// and against accepted manifests that can't be written and read back.
+BOOST_AUTO_TEST_CASE(mutatedManifestsParseOrReportFaults)
 {
     std::mt19937_64 random(2);
     int valid = 0;
@@ -253,29 +254,29 @@
     BOOST_TEST(valid < 5000);
 }
 
-// Guards against placement that depends on anything but the identity and the placement members:
-// named homes, a stable value, and an even spread over domains and shards.
-BOOST_AUTO_TEST_CASE(placementIsAFunctionOfTheIdentity)
+// Guards against placement that depends on more than the request's identity, the domains and
+// shardsPerDomain, that ignores the domain named in a key, or that is uneven over the shards.
+BOOST_AUTO_TEST_CASE(placementDependsOnIdentityOnly)
 {
     const auto manifest = parsed(exampleText("kalkan"));
-    auto changed = manifest;
-    changed.revision = Base::Revision(9);
-    changed.kinds.clear();
-    changed.upstreams.clear();
+    auto otherRevision = manifest;
+    otherRevision.revision = Base::Revision(9);
+    otherRevision.kinds.clear();
+    otherRevision.upstreams.clear();
     std::map<Base::ShardId, int> counts;
     const int n = 64'000;
     for (int i = 0; i < n; ++i) {
         const Base::RequestId id{Base::TeamId("landlords"),
                                  Base::RequestKey("key-" + std::to_string(i))};
         const Base::ShardId shard = shardOf(manifest, id);
-        BOOST_TEST_REQUIRE((shardOf(changed, id) == shard));
+        BOOST_TEST_REQUIRE((shardOf(otherRevision, id) == shard));
         BOOST_TEST_REQUIRE(shard.index.value() < manifest.shardsPerDomain);
         ++counts[shard];
         const Base::RequestId named{id.team, Base::RequestKey("auezov:" + id.key.value())};
         BOOST_TEST_REQUIRE(shardOf(manifest, named).domain.value() == "auezov");
     }
     BOOST_TEST(counts.size() == 64U);
-    // Each of 64 shards expects 1,000 keys; five standard deviations are 158.
+    // The mean is 1,000 keys per shard for 64 shards; five standard deviations are 158.
     for (const auto &[shard, count] : counts)
         BOOST_TEST(std::abs(count - 1000) < 158);
 }
