--- a/src/plugins/manifestservice/manifestservice.cpp
+++ b/src/plugins/manifestservice/manifestservice.cpp
@@ -1,4 +1,4 @@
-// Polling, applying and submitting of manifests.
+// Polls, applies and submits manifests.
 #include "manifestservice.h"
 
 #include <base/failure.h>
@@ -22,17 +22,19 @@
 static constexpr char HEAD_KEY[] = "manifest/head";
 static constexpr std::chrono::milliseconds POLL_INTERVAL_MS{2000};
 static constexpr std::chrono::milliseconds RESOLVE_INTERVAL_MS{500};
-/// Until a manifest is in force, the table is asked this often.
-static constexpr std::chrono::milliseconds FIRST_POLL_MS{500};
-/// Peers connect and send heartbeats within a second.
-static constexpr std::chrono::milliseconds FIRST_CHOICE_MS{1500};
-/// With a poll every 500 ms, the table must fail for 4 s before the word of peers is enough.
-static constexpr int MAX_TABLE_FAILURES = 8;
-/// After this many periods a peer that told of a higher revision counts as lost.
-static constexpr int MAX_FIRST_CHOICES = 8;
-/// Reads and repeats of a head write whose reply was lost, before the operator is told.
+/// Poll interval until the first manifest is applied.
+static constexpr std::chrono::milliseconds INITIAL_POLL_INTERVAL_MS{500};
+/// Interval of attempts to use a peer's manifest. Peers connect and send heartbeats within a
+/// second.
+static constexpr std::chrono::milliseconds PEER_MANIFEST_INTERVAL_MS{1500};
+/// With a poll every 500 ms, the table must fail for 4 s before a peer's manifest is used instead.
+static constexpr int MIN_TABLE_FAILURES = 8;
+/// Number of attempts after which the body of a higher revision that a peer announced is no longer
+/// waited for.
+static constexpr int MAX_PEER_MANIFEST_ATTEMPTS = 8;
+/// Retries of a head write whose outcome is unknown, before the operator is informed.
 static constexpr int MAX_RESOLVE_ATTEMPTS = 6;
-/// Verifications of restarting daemons that a submission may meet before it is given up.
+/// Conflicts with the verification writes of restarting daemons before a submission fails.
 static constexpr int MAX_CONFLICTS = 20;
 
 ManifestHolder::ManifestHolder(const Settings::Runtime &runtime)
@@ -48,9 +50,10 @@
     EP_ASSERT(m_table && m_objects && m_peers && m_telemetry,
               return makeFailure(FailureCode::Internal, "manifest: missing service"));
     m_telemetry->metrics().setGauge("endivepath_manifest_revision",
-                                    "Revision of the manifest in force; 0 before the first.",
+                                    "Revision of the current manifest; 0 before the first.",
                                     [this] { return static_cast<double>(revision().value()); });
-    m_firstChoiceTimer = m_runtime.timers.schedule(FIRST_CHOICE_MS, [this] { chooseFirst(); });
+    m_peerManifestTimer =
+        m_runtime.timers.schedule(PEER_MANIFEST_INTERVAL_MS, [this] { applyPeerManifest(); });
     poll();
     return absl::OkStatus();
 }
@@ -58,7 +61,7 @@
 void ManifestHolder::stop()
 {
     m_runtime.timers.cancel(m_pollTimer);
-    m_runtime.timers.cancel(m_firstChoiceTimer);
+    m_runtime.timers.cancel(m_peerManifestTimer);
 }
 
 Base::Revision ManifestHolder::revision() const
@@ -86,10 +89,10 @@
 
 void ManifestHolder::poll()
 {
-    m_pollTimer =
-        m_runtime.timers.schedule(m_current ? POLL_INTERVAL_MS : FIRST_POLL_MS, [this] { poll(); });
+    m_pollTimer = m_runtime.timers.schedule(m_current ? POLL_INTERVAL_MS : INITIAL_POLL_INTERVAL_MS,
+                                            [this] { poll(); });
     m_table->read(HEAD_KEY, [this](const absl::Status &status, const Storage::Row &row) {
-        // An empty table says nothing of a manifest that a peer may have.
+        // An empty table does not rule out that a peer has a manifest.
         if (status.ok() && row.version > 0)
             headReceived(row);
         else
@@ -110,7 +113,7 @@
         Base::log(Base::LogLevel::Error, "manifestHeadMalformed", {{"version", row.version}});
         return;
     }
-    // An old copy of the table shows a lower revision, which is never applied.
+    // A stale read returns a lower revision, which is never applied.
     if (head.revision <= revision())
         return;
     if (head.revision == m_refusedRevision) {
@@ -158,15 +161,17 @@
     }
 }
 
-void ManifestHolder::chooseFirst()
+void ManifestHolder::applyPeerManifest()
 {
     if (m_current)
         return;
-    m_firstChoiceTimer = m_runtime.timers.schedule(FIRST_CHOICE_MS, [this] { chooseFirst(); });
-    if (m_tableFailures < MAX_TABLE_FAILURES || m_peerBody.empty())
+    m_peerManifestTimer =
+        m_runtime.timers.schedule(PEER_MANIFEST_INTERVAL_MS, [this] { applyPeerManifest(); });
+    if (m_tableFailures < MIN_TABLE_FAILURES || m_peerBody.empty())
         return;
-    // A peer knows a higher revision, whose body may have been lost on its way.
-    if (m_peerRevision < m_announced && ++m_choiceAttempts < MAX_FIRST_CHOICES)
+    // A peer has announced a higher revision, whose body may have been lost in transit.
+    if (m_peerRevision < m_announcedRevision
+        && ++m_peerManifestAttempts < MAX_PEER_MANIFEST_ATTEMPTS)
         return;
     apply(m_peerBody, m_peerRevision);
 }
@@ -174,8 +179,8 @@
 void ManifestHolder::verifyHead(const Storage::Row &row, const std::string &body,
                                 Base::Revision revision)
 {
-    // A restarted daemon has forgotten which revision it had, and a read may be served from an old
-    // copy. A write on the condition of the version that was read succeeds only if that is current.
+    // After a restart the last applied revision is unknown, and the read may be stale. Writing the
+    // row back unchanged on condition of its version succeeds only if the read was current.
     Storage::ConditionalWrite write{HEAD_KEY, row.value, row.version, nextTransaction()};
     m_table->compareAndSet(write,
                            [this, body, revision](const absl::Status &status, std::uint64_t) {
@@ -217,7 +222,7 @@
 
 void ManifestHolder::revisionAnnounced(const Base::DaemonId &peer, Base::Revision announced)
 {
-    m_announced = std::max(m_announced, announced);
+    m_announcedRevision = std::max(m_announcedRevision, announced);
     if (announced > std::max(revision(), m_peerRevision))
         m_peers->send(peer, Wire::ManifestFetch{announced.value()});
 }
@@ -252,16 +257,16 @@
     head.write.key = HEAD_KEY;
     head.write.value = json({{"revision", head.revision.value()}, {"digest", digest}}).dump();
     m_objects->put("manifest/" + digest, body, [this, head](const absl::Status &status) {
-        // Without the head row, the object alone has no effect.
+        // The object has no effect until the head row names it.
         if (status.ok())
-            retryAfterConflict(head);
+            checkParentAndWrite(head);
         else
             reportSubmit(
                 head, makeFailure(FailureCode::PlatformUnavailable, Base::failureMessage(status)));
     });
 }
 
-void ManifestHolder::retryAfterConflict(HeadWrite head)
+void ManifestHolder::checkParentAndWrite(HeadWrite head)
 {
     m_table->read(HEAD_KEY, [this, head = std::move(head)](const absl::Status &status,
                                                            const Storage::Row &row) mutable {
@@ -275,7 +280,7 @@
         if (current.revision != head.parent || head.revision <= current.revision) {
             SubmitResult result;
             result.status = makeFailure(FailureCode::VersionMismatch,
-                                        fmt::format("the revision in force is {}, not {}",
+                                        fmt::format("the current revision is {}, not {}",
                                                     current.revision.value(), head.parent.value()));
             result.currentRevision = current.revision;
             head.callback(result);
@@ -283,7 +288,7 @@
         }
         head.write.expectedVersion = row.version;
         head.write.transaction = nextTransaction();
-        head.unknownFates = 0;
+        head.resolveAttempts = 0;
         writeHead(head);
     });
 }
@@ -298,23 +303,24 @@
 void ManifestHolder::headWritten(HeadWrite head, const absl::Status &status)
 {
     const FailureCode code = Base::failureCode(status);
-    const bool isUnknown = code == FailureCode::FateUnknown
-                           || (head.unknownFates > 0 && code == FailureCode::PlatformUnavailable);
-    if (isUnknown && ++head.unknownFates <= MAX_RESOLVE_ATTEMPTS) {
-        // Repeating the write under its transaction id either finds it done or does it now.
+    const bool isOutcomeUnknown =
+        code == FailureCode::FateUnknown
+        || (head.resolveAttempts > 0 && code == FailureCode::PlatformUnavailable);
+    if (isOutcomeUnknown && ++head.resolveAttempts <= MAX_RESOLVE_ATTEMPTS) {
+        // The transaction id makes the write idempotent: the retry finds it done or does it.
         m_runtime.timers.schedule(RESOLVE_INTERVAL_MS, [this, head] { writeHead(head); });
         return;
     }
     if (code == FailureCode::VersionMismatch && ++head.conflicts <= MAX_CONFLICTS) {
-        retryAfterConflict(std::move(head));
+        checkParentAndWrite(std::move(head));
         return;
     }
     if (status.ok())
         apply(head.body, head.revision);
-    reportSubmit(head, isUnknown ? makeFailure(FailureCode::FateUnknown,
-                                               "the platform does not say whether the revision "
-                                               "was written")
-                                 : status);
+    reportSubmit(head, isOutcomeUnknown ? makeFailure(FailureCode::FateUnknown,
+                                                      "the platform did not confirm whether the "
+                                                      "revision was written")
+                                        : status);
 }
 
 void ManifestHolder::reportSubmit(const HeadWrite &head, const absl::Status &status)
--- a/src/plugins/manifestservice/manifestservice.h
+++ b/src/plugins/manifestservice/manifestservice.h
@@ -1,4 +1,4 @@
-// The manifest in force at this daemon, and how it learns of new revisions.
+// Keeps the current manifest of this daemon and obtains new revisions.
 #pragma once
 
 #include <base/ids.h>
@@ -17,7 +17,7 @@
 
 namespace ManifestService {
 
-/// The answer to an operator who submits a manifest.
+/// Result of submitting a manifest.
 struct SubmitResult
 {
     absl::Status status; // invalidManifest, versionMismatch, platformUnavailable, fateUnknown
@@ -25,8 +25,8 @@
     Base::Revision currentRevision; // in the platform's table, as far as known
 };
 
-/// Holds the highest valid revision seen, whether from the platform or from a peer, and never goes
-/// back. A revision is applied whole or not at all.
+/// Holds the highest valid revision received from the platform or a peer, and never reverts to a
+/// lower one. A revision is applied completely or not at all.
 class ManifestHolder : public Kernel::Service, public Wire::PeerListener
 {
 public:
@@ -39,20 +39,20 @@
     absl::Status start(const Kernel::ServiceRegistry &registry) override;
     void stop() override;
 
-    /// The manifest in force; null until the first one has arrived.
+    /// The current manifest; null until the first one is applied.
     const Snapshot &current() const { return m_current; }
     Base::Revision revision() const;
     const std::string &body() const { return m_body; }
-    /// Calls \a observer at each change, and at once if a manifest is in force.
+    /// Calls \a observer on each change, and immediately if there is a current manifest.
     void observe(Observer observer);
 
     /// Makes \a body the successor of revision \a parent by a compare-and-set in the platform's
     /// table.
     void submit(const std::string &body, Base::Revision parent, SubmitCallback callback);
-    /// A peer has announced \a revision.
+    /// Fetches \a revision, which \a peer has announced, if it is higher than the known ones.
     void revisionAnnounced(const Base::DaemonId &peer, Base::Revision revision);
 
-    /// Revisions that failed the check, for status and alarms.
+    /// Highest revision in the platform's table that failed validation, for status and alarms.
     Base::Revision refusedRevision() const { return m_refusedRevision; }
 
     void peerMessageReceived(const Wire::PeerIdentity &from, const Wire::Message &message) override;
@@ -64,7 +64,7 @@
         std::string digest;
     };
 
-    /// A submission on its way into the table.
+    /// A submission that is being written to the table.
     struct HeadWrite
     {
         Storage::ConditionalWrite write;
@@ -72,26 +72,27 @@
         Base::Revision revision;
         std::string body;
         SubmitCallback callback;
-        int unknownFates = 0; // of the same write
-        int conflicts = 0;    // with other writes
+        int resolveAttempts = 0; // of this write while its outcome is unknown
+        int conflicts = 0;       // with other writes
     };
 
     static bool decodeHead(const std::string &text, Head &head);
     void poll();
     void headReceived(const Storage::Row &row);
-    /// Applies \a body, or keeps it until the first choice if none is in force yet.
+    /// Applies \a body, or keeps it for applyPeerManifest() if there is no current manifest yet.
     void bodyReceived(const std::string &body, Base::Revision announced);
-    /// Takes what peers have sent, if the table can't tell more.
-    void chooseFirst();
-    /// Applies the first manifest if \a row is not an old copy of the table.
+    /// Applies the manifest received from peers if the table is unavailable.
+    void applyPeerManifest();
+    /// Applies the first manifest if \a row is not stale.
     void verifyHead(const Storage::Row &row, const std::string &body, Base::Revision revision);
     std::string nextTransaction();
     bool apply(const std::string &body, Base::Revision announced);
     void record(EventLog::EventType type, Base::Revision revision);
     void writeHead(const HeadWrite &head);
     void headWritten(HeadWrite head, const absl::Status &status);
-    /// The row was written meanwhile: goes on if that was only a verification.
-    void retryAfterConflict(HeadWrite head);
+    /// Writes the head row if the revision in it is still the parent. A conflicting write that was
+    /// only a verification leaves it so.
+    void checkParentAndWrite(HeadWrite head);
     void reportSubmit(const HeadWrite &head, const absl::Status &status);
 
     const Settings::Runtime m_runtime;
@@ -104,15 +105,15 @@
     Base::Revision m_refusedRevision;
     std::vector<Observer> m_observers;
     Base::TimerId m_pollTimer;
-    Base::TimerId m_firstChoiceTimer;
+    Base::TimerId m_peerManifestTimer;
     std::uint64_t m_lastTransaction = 0;
 
-    // Valid until the first manifest is in force.
-    std::string m_peerBody;        // the highest valid one that a peer has sent
-    Base::Revision m_peerRevision; // of m_peerBody
-    Base::Revision m_announced;    // highest revision that a peer has told of
-    int m_tableFailures = 0;       // reads and verifications that did not tell it
-    int m_choiceAttempts = 0;
+    // Used until the first manifest is applied.
+    std::string m_peerBody;             // highest valid manifest received from a peer
+    Base::Revision m_peerRevision;      // of m_peerBody
+    Base::Revision m_announcedRevision; // highest revision announced by a peer
+    int m_tableFailures = 0;            // reads and verifications that gave no usable manifest
+    int m_peerManifestAttempts = 0;
 };
 
 } // namespace ManifestService
--- a/tests/auto/manifestservice/tst_manifestservice.cpp
+++ b/tests/auto/manifestservice/tst_manifestservice.cpp
@@ -1,4 +1,4 @@
-// Tests of the manifest service: several daemons over a fake table, object store and peer network.
+// Tests of the manifest service: several daemons on a fake table, object store and peer network.
 #include <kernel/servicenames.h>
 #include <kernel/serviceregistry.h>
 #include <manifest/manifestreader.h>
@@ -24,7 +24,7 @@
 using ManifestService::SubmitResult;
 using std::chrono::milliseconds;
 
-static std::string makeBody(std::uint64_t revision, std::uint64_t mark)
+static std::string makeBody(std::uint64_t revision, std::uint64_t variant)
 {
     Manifest::Manifest manifest;
     manifest.revision = Base::Revision(revision);
@@ -43,7 +43,7 @@
     Manifest::Kind kind;
     kind.id = Base::KindId("k");
     kind.repeatable = true;
-    kind.deadline = milliseconds(1000 + mark % 1000);
+    kind.deadline = milliseconds(1000 + variant % 1000);
     kind.declaredRunTime = milliseconds(50);
     kind.upstreamGroups = {upstream.group};
     manifest.kinds[kind.id] = kind;
@@ -55,12 +55,14 @@
     return Manifest::writeManifest(manifest);
 }
 
-/// The platform as one daemon sees it; reads can return an old copy of the table.
-class PlatformOfDaemon : public Kernel::Service, public Storage::Table, public Storage::ObjectStore
+/// The platform client of one daemon, whose table reads can be stale.
+class FakePlatformClient : public Kernel::Service,
+                           public Storage::Table,
+                           public Storage::ObjectStore
 {
 public:
-    PlatformOfDaemon(FakeTable &table, std::map<std::string, std::string> &objects,
-                     ManualTimers &timers)
+    FakePlatformClient(FakeTable &table, std::map<std::string, std::string> &objects,
+                       ManualTimers &timers)
         : client(table, timers)
         , m_objects(objects)
         , m_timers(timers)
@@ -71,8 +73,8 @@
     void read(std::string_view key, ReadCallback callback) override
     {
         client.read(key, [this, callback](const absl::Status &status, const Storage::Row &row) {
-            const bool isOld = status.ok() && oldCopy && oldCopy->version < row.version;
-            callback(status, isOld ? *oldCopy : row);
+            const bool isStale = status.ok() && staleRow && staleRow->version < row.version;
+            callback(status, isStale ? *staleRow : row);
         });
     }
     void compareAndSet(Storage::ConditionalWrite write, WriteCallback callback) override
@@ -101,7 +103,7 @@
     }
 
     FakeTableClient client;
-    std::optional<Storage::Row> oldCopy;
+    std::optional<Storage::Row> staleRow;
 
 private:
     std::map<std::string, std::string> &m_objects;
@@ -125,25 +127,25 @@
             m_daemons.emplace_back();
             restart(i);
         }
-        beat();
+        announceRevisions();
     }
 
     void restart(std::size_t i)
     {
         Daemon &daemon = m_daemons[i];
         const bool wasDown = daemon.platform && daemon.platform->client.down;
-        const auto oldCopy = daemon.platform ? daemon.platform->oldCopy : std::nullopt;
+        const auto staleRow = daemon.platform ? daemon.platform->staleRow : std::nullopt;
         if (daemon.holder)
             daemon.holder->stop();
-        m_graveyard.push_back(std::move(daemon.registry));
+        m_retiredRegistries.push_back(std::move(daemon.registry));
         daemon.settings.daemon = idOf(i);
         daemon.settings.domain = Base::FailureDomainId("a");
         const Base::Incarnation incarnation(++m_lastIncarnation);
         daemon.registry = std::make_unique<Kernel::ServiceRegistry>();
-        auto platform = std::make_unique<PlatformOfDaemon>(table, objects, clock);
+        auto platform = std::make_unique<FakePlatformClient>(table, objects, clock);
         daemon.platform = platform.get();
         daemon.platform->client.down = wasDown;
-        daemon.platform->oldCopy = oldCopy;
+        daemon.platform->staleRow = staleRow;
         auto port = std::make_unique<PortService>(
             network, Wire::PeerIdentity{idOf(i), daemon.settings.domain, incarnation}, clock);
         daemon.port = port.get();
@@ -161,29 +163,28 @@
     }
 
     ManifestHolder &holder(std::size_t i) { return *m_daemons[i].holder; }
-    PlatformOfDaemon &platform(std::size_t i) { return *m_daemons[i].platform; }
+    FakePlatformClient &platform(std::size_t i) { return *m_daemons[i].platform; }
     std::size_t count() const { return m_daemons.size(); }
     static Base::DaemonId idOf(std::size_t i) { return Base::DaemonId("d" + std::to_string(i)); }
 
-    /// Submits and returns the result once known.
+    /// Submits a manifest to daemon \a i. The result has no value until it is known.
     std::shared_ptr<std::optional<SubmitResult>> submit(std::size_t i, std::uint64_t revision,
-                                                        std::uint64_t mark)
+                                                        std::uint64_t variant)
     {
         auto result = std::make_shared<std::optional<SubmitResult>>();
-        holder(i).submit(makeBody(revision, mark), Base::Revision(revision - 1),
+        holder(i).submit(makeBody(revision, variant), Base::Revision(revision - 1),
                          [result](const SubmitResult &r) { *result = r; });
         return result;
     }
 
-    /// Highest revision that each daemon id has had in force; it must never be above what the
-    /// daemon has now, also over restarts.
-    void checkNeverBack(const char *step)
+    /// Checks that no daemon has a lower revision than it had before, also across restarts.
+    void checkNoneReverted(const char *step)
     {
         for (std::size_t i = 0; i < m_daemons.size(); ++i) {
             const std::uint64_t now = holder(i).revision().value();
             if (now == 0)
-                continue; // restarted, and not yet decided
-            if (now < m_daemons[i].highest && !isHighestKnowable(i))
+                continue; // restarted; no manifest applied yet
+            if (now < m_daemons[i].highest && !isHighestReachable(i))
                 m_daemons[i].highest = now;
             BOOST_REQUIRE_MESSAGE(now >= m_daemons[i].highest, step << ": d" << i << " went from "
                                                                     << m_daemons[i].highest
@@ -209,16 +210,17 @@
     {
         Settings::DaemonSettings settings;
         std::unique_ptr<Kernel::ServiceRegistry> registry;
-        PlatformOfDaemon *platform = nullptr;
+        FakePlatformClient *platform = nullptr;
         PortService *port = nullptr;
         ManifestHolder *holder = nullptr;
         std::uint64_t highest = 0;
     };
 
-    /// Whether a source that daemon \a i can reach has its highest revision. Seed 4 showed a daemon
-    /// that restarted with the platform away and a link to one peer only, which was 15 revisions
-    /// behind. As hosts keep nothing, it can't know better.
-    bool isHighestKnowable(std::size_t i)
+    /// Whether daemon \a i can reach the platform or a peer with its highest revision. With seed 4,
+    /// a daemon restarted while the platform was down and its only link was to a peer that was 15
+    /// revisions behind. Daemons persist nothing on their hosts, so a lower revision is correct
+    /// then.
+    bool isHighestReachable(std::size_t i)
     {
         if (!platform(i).client.down)
             return true;
@@ -230,9 +232,9 @@
         return false;
     }
 
-    void beat()
+    void announceRevisions()
     {
-        clock.schedule(milliseconds(300), [this] { beat(); });
+        clock.schedule(milliseconds(300), [this] { announceRevisions(); });
         for (std::size_t i = 0; i < m_daemons.size(); ++i) {
             for (std::size_t j = 0; j < m_daemons.size(); ++j) {
                 if (i != j && m_daemons[i].port->isConnected(idOf(j)))
@@ -243,13 +245,14 @@
 
     asio::io_context m_io;
     std::deque<Daemon> m_daemons;
-    // Callbacks of fakes may outlive a restart.
-    std::vector<std::unique_ptr<Kernel::ServiceRegistry>> m_graveyard;
+    // Kept alive, since callbacks of the fakes may run after a restart.
+    std::vector<std::unique_ptr<Kernel::ServiceRegistry>> m_retiredRegistries;
     std::uint64_t m_lastIncarnation = 0;
 };
 
-// Guards against both of two racing operators being told that their revision was accepted.
-BOOST_AUTO_TEST_CASE(oneOfTwoOperatorsWins)
+// Guards against two concurrent submissions of the same revision that are both reported as
+// accepted.
+BOOST_AUTO_TEST_CASE(onlyOneOfTwoConcurrentSubmissionsIsAccepted)
 {
     Deployment deployment(3);
     const auto first = deployment.submit(0, 1, 1);
@@ -263,7 +266,8 @@
         BOOST_TEST(deployment.holder(i).body() == deployment.holder(0).body());
 }
 
-// Guards against a lost reply being taken for a lost race, or for success without effect.
+// Guards against a lost reply to the head write that is reported as a conflict, or as success
+// although the write had no effect.
 BOOST_AUTO_TEST_CASE(lostRepliesAreResolved)
 {
     for (const TableFault fault :
@@ -278,16 +282,16 @@
     }
 }
 
-// Guards against a faulty revision in the table taking the place of the one in force, and against
-// daemons that stay stuck on it when a valid one follows.
-BOOST_AUTO_TEST_CASE(faultyRevisionIsRefusedByAll)
+// Guards against an invalid revision in the table that replaces the current one or blocks the valid
+// revision that follows.
+BOOST_AUTO_TEST_CASE(invalidRevisionIsRefusedByAllDaemons)
 {
     Deployment deployment(3);
     deployment.submit(0, 1, 1);
     deployment.clock.advance(std::chrono::seconds(5));
-    const std::string faulty = R"({"revision": 2})";
-    const std::string digest = Manifest::manifestDigest(faulty);
-    deployment.objects["manifest/" + digest] = faulty;
+    const std::string invalid = R"({"revision": 2})";
+    const std::string digest = Manifest::manifestDigest(invalid);
+    deployment.objects["manifest/" + digest] = invalid;
     std::uint64_t version = 0;
     BOOST_TEST_REQUIRE(deployment.table
                            .apply({"manifest/head", R"({"revision":2,"digest":")" + digest + "\"}",
@@ -306,21 +310,21 @@
         BOOST_TEST(deployment.holder(i).revision().value() == 3);
 }
 
-// Guards against a restarted daemon that takes an old revision: from an old copy of the table while
-// peers know better, or none at all while the platform is away.
+// Guards against a restarted daemon that applies an old revision from a stale read although its
+// peers have a newer one, or that has no manifest at all while the platform is unavailable.
 BOOST_AUTO_TEST_CASE(restartKeepsTheHighestRevision)
 {
     Deployment deployment(3);
     deployment.submit(0, 1, 1);
     deployment.clock.advance(std::chrono::seconds(5));
-    deployment.platform(2).oldCopy = deployment.table.row("manifest/head");
+    deployment.platform(2).staleRow = deployment.table.row("manifest/head");
     deployment.submit(0, 2, 2);
     deployment.clock.advance(std::chrono::seconds(5));
-    deployment.checkNeverBack("before the restart");
+    deployment.checkNoneReverted("before the restart");
     deployment.restart(2);
     for (int i = 0; i < 200; ++i) {
         deployment.clock.advance(milliseconds(100));
-        deployment.checkNeverBack("old copy");
+        deployment.checkNoneReverted("stale read");
     }
     BOOST_TEST(deployment.holder(2).revision().value() == 2);
     deployment.platform(1).client.down = true;
@@ -329,9 +333,10 @@
     BOOST_TEST(deployment.holder(1).revision().value() == 2);
 }
 
-// Guards against any daemon going back, and against daemons that end on different revisions, under
-// racing operators, lost replies, cut links, outages, old copies and restarts.
-BOOST_AUTO_TEST_CASE(racingOperatorsEndOnOneRevision)
+// Guards against a daemon that reverts to a lower revision, and against daemons that end on
+// different revisions, with concurrent submissions, lost replies, cut links, outages, stale reads
+// and restarts.
+BOOST_AUTO_TEST_CASE(concurrentSubmissionsConverge)
 {
     const std::uint64_t seed = TestSupport::environmentNumber("EP_RANDOM_SEED", 20261204);
     const std::uint64_t submissions = TestSupport::environmentNumber("EP_RANDOM_RUNS", 3000);
@@ -347,34 +352,34 @@
             return {};
         return milliseconds(random() % (chance(5) ? 3000 : 5));
     };
-    std::map<std::uint64_t, std::string> accepted; // revision to the body said to be accepted
+    std::map<std::uint64_t, std::string> accepted; // body reported as accepted, by revision
     std::vector<std::pair<std::pair<std::uint64_t, std::string>,
                           std::shared_ptr<std::optional<SubmitResult>>>>
-        open;
+        pending;
     for (std::uint64_t n = 0; n < submissions; ++n) {
         const std::uint64_t revision = deployment.headRevision() + 1;
         const std::size_t operators = 1 + random() % 2;
         for (std::size_t k = 0; k < operators; ++k) {
             const std::size_t i = random() % deployment.count();
-            open.emplace_back(std::pair(revision, makeBody(revision, n * 2 + k)),
-                              deployment.submit(i, revision, n * 2 + k));
+            pending.emplace_back(std::pair(revision, makeBody(revision, n * 2 + k)),
+                                 deployment.submit(i, revision, n * 2 + k));
         }
-        const std::size_t victim = random() % deployment.count();
+        const std::size_t target = random() % deployment.count();
         if (chance(5))
-            deployment.restart(victim);
+            deployment.restart(target);
         if (chance(10))
-            deployment.platform(victim).client.down = chance(50);
+            deployment.platform(target).client.down = chance(50);
         if (chance(5))
-            deployment.platform(victim).oldCopy = deployment.table.row("manifest/head");
+            deployment.platform(target).staleRow = deployment.table.row("manifest/head");
         if (chance(20))
-            deployment.platform(victim).oldCopy.reset();
+            deployment.platform(target).staleRow.reset();
         if (chance(10)) {
-            deployment.network.setCut(Deployment::idOf(victim),
+            deployment.network.setCut(Deployment::idOf(target),
                                       Deployment::idOf(random() % deployment.count()), chance(40));
         }
         for (int step = 0; step < 5; ++step) {
             deployment.clock.advance(milliseconds(random() % 400));
-            deployment.checkNeverBack("random run");
+            deployment.checkNoneReverted("random run");
         }
     }
     deployment.table.chooseFault = {};
@@ -382,10 +387,10 @@
     deployment.network.restoreAll();
     for (std::size_t i = 0; i < deployment.count(); ++i) {
         deployment.platform(i).client.down = false;
-        deployment.platform(i).oldCopy.reset();
+        deployment.platform(i).staleRow.reset();
     }
     deployment.clock.advance(std::chrono::seconds(60));
-    for (const auto &[body, result] : open) {
+    for (const auto &[body, result] : pending) {
         if (!result->has_value() || !(*result)->status.ok())
             continue;
         const auto [it, isNew] = accepted.emplace(body);
