--- a/src/plugins/membership/membershipservice.cpp
+++ b/src/plugins/membership/membershipservice.cpp
@@ -1,4 +1,4 @@
-// Polling of the host list.
+// Polls the host list.
 #include "membershipservice.h"
 
 #include <base/failure.h>
@@ -11,7 +11,7 @@
 
 namespace Membership {
 
-/// A leaving upstream gets no new work after 3 s; the poll may use a third of that.
+/// An upstream on a leaving host must get no new work after 3 s; polling may take a third of that.
 static constexpr std::chrono::milliseconds POLL_INTERVAL_MS{1000};
 
 MembershipService::MembershipService(const Settings::Runtime &runtime)
--- a/src/plugins/membership/membershipservice.h
+++ b/src/plugins/membership/membershipservice.h
@@ -1,4 +1,4 @@
-// The platform's list of hosts, as last received.
+// Keeps the list of hosts last received from the platform.
 #pragma once
 
 #include <kernel/service.h>
@@ -14,7 +14,8 @@
 
 namespace Membership {
 
-/// Polls the list. While the platform is away the last list stays in force and its age grows.
+/// Polls the list. While the platform is unavailable, the last list remains valid and its age
+/// grows.
 class MembershipService : public Kernel::Service
 {
 public:
@@ -25,11 +26,11 @@
     absl::Status start(const Kernel::ServiceRegistry &registry) override;
     void stop() override;
 
-    /// Hosts that the list does not name are live.
+    /// State of \a host. Hosts that are not in the list are live.
     Storage::HostState hostState(const std::string &host) const;
-    /// Time since the last list; nothing before the first one.
+    /// Time since the last list was received; std::nullopt before the first one.
     std::optional<Base::Duration> age() const;
-    /// Called after each list that differs from the one before.
+    /// Calls \a observer after each list that differs from the previous one.
     void observe(Observer observer) { m_observers.push_back(std::move(observer)); }
 
 private:
