--- a/src/plugins/cluster/clusterview.cpp
+++ b/src/plugins/cluster/clusterview.cpp
@@ -1,4 +1,4 @@
-// Sending and keeping of heartbeats.
+// Sends heartbeats and evaluates those of other daemons.
 #include "clusterview.h"
 
 #include <base/failure.h>
@@ -12,11 +12,11 @@
 
 namespace Cluster {
 
-static constexpr std::chrono::milliseconds HEARTBEAT_MS{300};
-/// Daemons of other failure domains get every third heartbeat: they only route by it.
-static constexpr std::uint64_t REMOTE_DIVISOR = 3;
-static constexpr std::chrono::milliseconds ALIVE_MS{2000};
-/// Collects the shards of one takeover in one heartbeat.
+static constexpr std::chrono::milliseconds HEARTBEAT_INTERVAL_MS{300};
+/// Daemons of other failure domains get every third heartbeat, as they use it only for routing.
+static constexpr std::uint64_t REMOTE_HEARTBEAT_DIVISOR = 3;
+static constexpr std::chrono::milliseconds HEARTBEAT_TIMEOUT_MS{2000};
+/// Combines the shards of one takeover in one heartbeat.
 static constexpr std::chrono::milliseconds ANNOUNCE_DELAY_MS{10};
 
 ClusterView::ClusterView(const Settings::Runtime &runtime)
@@ -33,7 +33,7 @@
     m_port = link;
     link->addListener(m_manifest);
     link->addListener(this);
-    beat();
+    sendPeriodicHeartbeats();
     return absl::OkStatus();
 }
 
@@ -42,18 +42,19 @@
     m_runtime.timers.cancel(m_timer);
 }
 
-void ClusterView::beat()
+void ClusterView::sendPeriodicHeartbeats()
 {
-    m_timer = m_runtime.timers.schedule(HEARTBEAT_MS, [this] { beat(); });
-    sendHeartbeats(m_beatCount++ % REMOTE_DIVISOR == 0);
+    m_timer =
+        m_runtime.timers.schedule(HEARTBEAT_INTERVAL_MS, [this] { sendPeriodicHeartbeats(); });
+    sendHeartbeats(m_heartbeatCount++ % REMOTE_HEARTBEAT_DIVISOR == 0);
 }
 
-void ClusterView::announceSoon()
+void ClusterView::scheduleAnnouncement()
 {
-    if (std::exchange(m_isAnnouncing, true))
+    if (std::exchange(m_isAnnouncementScheduled, true))
         return;
     m_runtime.timers.schedule(ANNOUNCE_DELAY_MS, [this] {
-        m_isAnnouncing = false;
+        m_isAnnouncementScheduled = false;
         sendHeartbeats(true);
     });
 }
@@ -63,10 +64,10 @@
     Wire::Heartbeat heartbeat;
     heartbeat.manifestRevision = m_manifest->revision().value();
     heartbeat.draining = m_isDraining;
-    if (m_owned)
-        heartbeat.owned = m_owned();
-    if (m_load)
-        heartbeat.queuedTasks = m_load();
+    if (m_ownedShardsProvider)
+        heartbeat.owned = m_ownedShardsProvider();
+    if (m_loadProvider)
+        heartbeat.queuedTasks = m_loadProvider();
     const EventLog::Stamp stamp = m_telemetry->clock().tick();
     heartbeat.clockMs = stamp.wallMs;
     heartbeat.clockCounter = stamp.counter;
@@ -115,7 +116,8 @@
 {
     std::vector<Base::DaemonId> daemons;
     for (const Settings::PeerSettings &it : m_runtime.settings.peers) {
-        // A link that is cut without notice keeps its connection, which still takes messages.
+        // After a silent network failure, the connection stays up and still accepts messages, so
+        // recent heartbeats are required as well.
         if (it.domain == domain && m_port->isConnected(it.daemon) && isAlive(it.daemon))
             daemons.push_back(it.daemon);
     }
@@ -129,7 +131,8 @@
 bool ClusterView::isAlive(const Base::DaemonId &daemon) const
 {
     const auto it = m_peers.find(daemon);
-    return it != m_peers.end() && m_runtime.timers.now() - it->second.lastHeard < ALIVE_MS;
+    return it != m_peers.end()
+           && m_runtime.timers.now() - it->second.lastHeard < HEARTBEAT_TIMEOUT_MS;
 }
 
 } // namespace Cluster
--- a/src/plugins/cluster/clusterview.h
+++ b/src/plugins/cluster/clusterview.h
@@ -1,4 +1,4 @@
-// What this daemon knows of the other daemons from their heartbeats.
+// State of the other daemons according to their heartbeats.
 #pragma once
 
 #include <base/ids.h>
@@ -15,7 +15,7 @@
 
 namespace Cluster {
 
-/// The last heartbeat of one daemon.
+/// Contents of the last heartbeat of one daemon.
 struct PeerState
 {
     Base::FailureDomainId domain;
@@ -27,11 +27,11 @@
     std::uint64_t queuedTasks = 0;
 };
 
-/// Sends heartbeats and keeps those of the others.
+/// Sends heartbeats and keeps the last one of each other daemon.
 class ClusterView : public Kernel::Service, public Wire::PeerListener
 {
 public:
-    using OwnedProvider = std::function<std::vector<Wire::OwnedShard>()>;
+    using OwnedShardsProvider = std::function<std::vector<Wire::OwnedShard>()>;
     using LoadProvider = std::function<std::uint64_t()>;
 
     explicit ClusterView(const Settings::Runtime &runtime);
@@ -39,13 +39,17 @@
     absl::Status start(const Kernel::ServiceRegistry &registry) override;
     void stop() override;
 
-    void setOwnedProvider(OwnedProvider provider) { m_owned = std::move(provider); }
-    void setLoadProvider(LoadProvider provider) { m_load = std::move(provider); }
-    /// Told to the others with the next heartbeat.
+    void setOwnedShardsProvider(OwnedShardsProvider provider)
+    {
+        m_ownedShardsProvider = std::move(provider);
+    }
+    void setLoadProvider(LoadProvider provider) { m_loadProvider = std::move(provider); }
+    /// Sent to the other daemons with the next heartbeat.
     void setDraining(bool isDraining) { m_isDraining = isDraining; }
     bool isDraining() const { return m_isDraining; }
-    /// Sends a heartbeat to all daemons soon, since callers elsewhere wait for the new owner.
-    void announceSoon();
+    /// Schedules an early heartbeat to all daemons, since requests elsewhere wait for the new
+    /// owner.
+    void scheduleAnnouncement();
 
     /// The daemon that claims \a shard under the highest epoch, if any does.
     std::optional<Base::DaemonId> ownerOf(const Base::ShardId &shard) const;
@@ -58,20 +62,20 @@
     void peerMessageReceived(const Wire::PeerIdentity &from, const Wire::Message &message) override;
 
 private:
-    void beat();
+    void sendPeriodicHeartbeats();
     void sendHeartbeats(bool toAll);
 
     const Settings::Runtime m_runtime;
     Wire::PeerPort *m_port = nullptr;
     ManifestService::ManifestHolder *m_manifest = nullptr;
     Telemetry::TelemetryService *m_telemetry = nullptr;
-    OwnedProvider m_owned;
-    LoadProvider m_load;
-    std::map<Base::DaemonId, PeerState> m_peers; // daemons heard of in this run
+    OwnedShardsProvider m_ownedShardsProvider;
+    LoadProvider m_loadProvider;
+    std::map<Base::DaemonId, PeerState> m_peers; // heard from since the start of this process
     Base::TimerId m_timer;
-    std::uint64_t m_beatCount = 0;
+    std::uint64_t m_heartbeatCount = 0;
     bool m_isDraining = false;
-    bool m_isAnnouncing = false;
+    bool m_isAnnouncementScheduled = false;
 };
 
 } // namespace Cluster
--- a/src/plugins/jobservice/jobservice.cpp
+++ b/src/plugins/jobservice/jobservice.cpp
@@ -194,7 +194,7 @@
     if (!completeKnowledge)
         Base::log(Base::LogLevel::Error, "recordsLost", {{"shard", shard}, {"epoch", epoch}});
     m_coordinator->shardAcquired(shard, epoch, completeKnowledge);
-    m_cluster->announceSoon();
+    m_cluster->scheduleAnnouncement();
 }
 
 void JobServiceImpl::shardLost(Base::ShardIndex shard)
--- a/src/plugins/ownershipservice/ownershipservice.cpp
+++ b/src/plugins/ownershipservice/ownershipservice.cpp
@@ -30,7 +30,7 @@
               return makeFailure(FailureCode::Internal, "ownership: missing service"));
     m_port = link;
     m_addListener = [link](Wire::PeerListener *listener) { link->addListener(listener); };
-    cluster->setOwnedProvider([this] { return ownedShards(); });
+    cluster->setOwnedShardsProvider([this] { return ownedShards(); });
     manifest->observe([this](const ManifestService::ManifestHolder::Snapshot &snapshot) {
         if (!m_ownership)
             create(*snapshot);
