--- a/src/plugins/manifestservice/manifestservice.h
+++ b/src/plugins/manifestservice/manifestservice.h
@@ -81,7 +81,7 @@
     void headReceived(const Storage::Row &row);
     /// Applies \a body, or keeps it for applyPeerManifest() if there is no current manifest yet.
     void bodyReceived(const std::string &body, Base::Revision announced);
-    /// Applies the manifest received from peers if the table is unavailable.
+    /// Applies the manifest received from peers if the table has given no usable one for a while.
     void applyPeerManifest();
     /// Applies the first manifest if \a row is not stale.
     void verifyHead(const Storage::Row &row, const std::string &body, Base::Revision revision);
