--- a/src/plugins/jobservice/jobservice.cpp
+++ b/src/plugins/jobservice/jobservice.cpp
@@ -194,7 +194,7 @@
     if (!recordsComplete)
         Base::log(Base::LogLevel::Error, "recordsLost", {{"shard", shard}, {"epoch", epoch}});
     m_coordinator->shardAcquired(shard, epoch, recordsComplete);
-    m_cluster->announceSoon();
+    m_cluster->scheduleAnnouncement();
 }
 
 void JobServiceImpl::shardLost(Base::ShardIndex shard)
