--- a/src/libs/ownership/context.h
+++ b/src/libs/ownership/context.h
@@ -1,9 +1,9 @@
-// What all shards of a daemon share.
+// State shared by all shards of a daemon.
 #pragma once
 
-#include "leaseledger.h"
+#include "leasetracker.h"
 #include "ownershipobserver.h"
-#include "promisebook.h"
+#include "promisetracker.h"
 
 #include <base/timers.h>
 #include <storage/table.h>
@@ -14,11 +14,11 @@
 
 namespace Ownership::Internal {
 
-/// What the last heartbeat of a daemon said.
-struct PeerSighting
+/// The last heartbeat received from a daemon.
+struct PeerHeartbeat
 {
     Base::Incarnation incarnation;
-    Base::TimePoint seenAt;
+    Base::TimePoint receivedAt;
     bool draining = false;
 };
 
@@ -33,19 +33,19 @@
     Wire::PeerPort &port;
     OwnershipObserver &observer;
 
-    LeaseLedger ledger{incarnation};
-    PromiseBook promises{};
-    std::map<Base::DaemonId, PeerSighting> sightings{};
+    LeaseTracker leaseTracker{incarnation};
+    PromiseTracker promiseTracker{};
+    std::map<Base::DaemonId, PeerHeartbeat> heartbeats{};
     Base::TimePoint startedAt{};
-    Base::TimePoint resumedAt{}; // end of the last pause of the process
-    /// Set when a shard needs promises sooner than the next regular round.
+    Base::TimePoint resumedAt{}; // when the last pause of the process was detected
+    /// Lease requests are to be sent before the next regular round.
     bool leaseRoundWanted = false;
-    std::uint64_t takeovers = 0;    // count of writes sent that take a shard from its owner
-    std::uint64_t transactions = 0; // count of transaction ids issued
+    std::uint64_t takeovers = 0;    // writes sent that take a shard from its owner
+    std::uint64_t transactions = 0; // transaction ids issued
 
     Storage::Replica selfReplica() const { return {self, incarnation}; }
-    /// The sighting of \a daemon if it is connected and its heartbeat is fresh.
-    const PeerSighting *freshSighting(const Base::DaemonId &daemon) const;
+    /// The last heartbeat of \a daemon; null if it is not connected or the heartbeat is too old.
+    const PeerHeartbeat *freshHeartbeat(const Base::DaemonId &daemon) const;
 };
 
 } // namespace Ownership::Internal
--- a/src/libs/ownership/ownershipobserver.h
+++ b/src/libs/ownership/ownershipobserver.h
@@ -1,4 +1,4 @@
-// Receives changes of shard ownership.
+// Interface to be notified of changes of shard ownership.
 #pragma once
 
 #include <base/ids.h>
--- a/src/libs/ownership/rowwriter.cpp
+++ b/src/libs/ownership/rowwriter.cpp
@@ -1,4 +1,4 @@
-// Sends, repeats and resolves one conditional write.
+// Sends, retries and resolves one conditional write.
 #include "rowwriter.h"
 
 #include "ownershipconstants.h"
@@ -42,19 +42,19 @@
     , m_resolved(std::move(resolved))
 {}
 
-void RowWriter::send(RowWrite write, std::string transaction, Stamp stamp)
+void RowWriter::send(RowWrite write, std::string transaction, LogicalTime logicalTime)
 {
     EP_ASSERT(!isPending(), return );
     m_write = std::move(write);
     m_transaction = std::move(transaction);
-    m_stamp = stamp;
+    m_logicalTime = logicalTime;
     m_mayTakeEffect = false;
     m_needsRead = false;
     m_backoff = Constants::TABLE_BACKOFF_MIN_MS;
     attempt();
 }
 
-void RowWriter::repeatIfDue()
+void RowWriter::retryIfDue()
 {
     if (m_write && !m_inFlight && m_timers.now() >= m_nextAttempt)
         attempt();
@@ -69,11 +69,11 @@
          transaction = m_transaction](const absl::Status &status, std::uint64_t version) {
             // A read may have resolved the write meanwhile.
             if (!alive.expired() && m_write && transaction == m_transaction)
-                replied(status, version);
+                handleReply(status, version);
         });
 }
 
-void RowWriter::replied(const absl::Status &status, std::uint64_t version)
+void RowWriter::handleReply(const absl::Status &status, std::uint64_t version)
 {
     m_inFlight = false;
     const FailureCode code = Base::failureCode(status);
@@ -83,7 +83,7 @@
         resolve(status, version);
         return;
     }
-    // "Certainly not written" speaks of this attempt only, not of an earlier one.
+    // The reply says only that this attempt was not written; an earlier one may still be.
     if (code == FailureCode::VersionMismatch)
         m_needsRead = true;
     if (!certain)
@@ -92,14 +92,14 @@
     m_backoff = std::min<Base::Duration>(2 * m_backoff, Constants::TABLE_BACKOFF_MAX_MS);
 }
 
-void RowWriter::observe(const Storage::Row &row)
+void RowWriter::resolveFrom(const Storage::Row &row)
 {
     if (!m_write || row.version <= m_write->expectedVersion)
         return;
     if (row.transaction == m_transaction)
         resolve(absl::OkStatus(), row.version);
     else
-        resolve(Base::makeFailure(FailureCode::VersionMismatch, "the row has changed"), 0);
+        resolve(Base::makeFailure(FailureCode::VersionMismatch, "the shard row has changed"), 0);
 }
 
 void RowWriter::resolve(const absl::Status &status, std::uint64_t version)
@@ -108,7 +108,7 @@
     m_write.reset();
     m_inFlight = false;
     m_needsRead = false;
-    m_resolved(std::move(write), status, version, m_stamp);
+    m_resolved(std::move(write), status, version, m_logicalTime);
 }
 
 } // namespace Ownership::Internal
--- a/src/libs/ownership/rowwriter.h
+++ b/src/libs/ownership/rowwriter.h
@@ -1,7 +1,7 @@
-// One conditional write of a shard row, repeated until its result is known.
+// One conditional write of a shard row, retried until its result is known.
 #pragma once
 
-#include "leaseledger.h"
+#include "leasetracker.h"
 
 #include <absl/status/status.h>
 #include <base/timers.h>
@@ -20,7 +20,7 @@
 
 std::string_view writeKindName(WriteKind kind);
 
-/// An intended change of a row.
+/// A conditional write of a row.
 struct RowWrite
 {
     WriteKind kind = WriteKind::Create;
@@ -32,16 +32,16 @@
     std::function<void(const absl::Status &)> done;
 };
 
-/// Holds at most one write. A write with an unknown result stays pending, as it may still take
-/// effect, until a repetition under its transaction id is answered or the row is seen at a higher
+/// Holds at most one write. A write with an unknown result may still take effect, so it stays
+/// pending until a retry under the same transaction id is answered or the row is read at a higher
 /// version.
 class RowWriter
 {
 public:
-    /// Called with the write, its result, and the row's version and the stamp of its first sending
-    /// if it took effect.
-    using Resolved =
-        std::function<void(RowWrite write, const absl::Status &, std::uint64_t version, Stamp)>;
+    /// Called with the write and its result, and, if it took effect, the version of the row and the
+    /// logical time of the first attempt.
+    using Resolved = std::function<void(RowWrite write, const absl::Status &, std::uint64_t version,
+                                        LogicalTime)>;
 
     RowWriter(Storage::Table &table, Base::Timers &timers, std::string key, Resolved resolved);
 
@@ -49,18 +49,18 @@
     /// The pending write; only valid while isPending().
     const RowWrite &write() const { return *m_write; }
     bool isPending(WriteKind kind) const { return m_write && m_write->kind == kind; }
-    /// Whether only a read can resolve the write.
+    /// Whether only a read of the row can resolve the write.
     bool needsRead() const { return m_needsRead; }
 
-    void send(RowWrite write, std::string transaction, Stamp stamp);
-    /// Repeats the write if its result is unknown and the back-off has passed.
-    void repeatIfDue();
+    void send(RowWrite write, std::string transaction, LogicalTime logicalTime);
+    /// Retries the write if its result is unknown and the back-off has passed.
+    void retryIfDue();
     /// Resolves the write if \a row shows that it has taken effect or never will.
-    void observe(const Storage::Row &row);
+    void resolveFrom(const Storage::Row &row);
 
 private:
     void attempt();
-    void replied(const absl::Status &status, std::uint64_t version);
+    void handleReply(const absl::Status &status, std::uint64_t version);
     void resolve(const absl::Status &status, std::uint64_t version);
 
     Storage::Table &m_table;
@@ -69,7 +69,7 @@
     Resolved m_resolved;
     std::optional<RowWrite> m_write;
     std::string m_transaction;
-    Stamp m_stamp;
+    LogicalTime m_logicalTime;
     bool m_inFlight = false;
     bool m_mayTakeEffect = false; // an earlier attempt has an unknown result
     bool m_needsRead = false;
--- a/src/libs/ownership/shard.cpp
+++ b/src/libs/ownership/shard.cpp
@@ -1,4 +1,4 @@
-// Lease, reads and writes of one shard. What owner and candidate do next is in shardsteps.cpp.
+// Lease, reads and writes of one shard. The steps of owner and candidate are in shardsteps.cpp.
 #include "shard.h"
 
 #include "ownershipconstants.h"
@@ -16,11 +16,11 @@
 using Base::LogLevel;
 using Base::makeFailure;
 
-const PeerSighting *Context::freshSighting(const Base::DaemonId &daemon) const
+const PeerHeartbeat *Context::freshHeartbeat(const Base::DaemonId &daemon) const
 {
-    const auto it = sightings.find(daemon);
-    const bool fresh = it != sightings.end() && port.isConnected(daemon)
-                       && timers.now() - it->second.seenAt < Constants::HEARTBEAT_FRESH_MS;
+    const auto it = heartbeats.find(daemon);
+    const bool fresh = it != heartbeats.end() && port.isConnected(daemon)
+                       && timers.now() - it->second.receivedAt < Constants::HEARTBEAT_FRESH_MS;
     return fresh ? &it->second : nullptr;
 }
 
@@ -29,9 +29,10 @@
     , m_index(index)
     , m_key(Storage::shardRowKey({context.domain, index}))
     , m_backoff(Constants::TABLE_BACKOFF_MIN_MS)
-    , m_writer(context.table, context.timers, m_key,
-               [this](const RowWrite &write, const absl::Status &status, std::uint64_t version,
-                      Stamp stamp) { writeResolved(write, status, version, stamp); })
+    , m_writer(
+          context.table, context.timers, m_key,
+          [this](const RowWrite &write, const absl::Status &status, std::uint64_t version,
+                 LogicalTime logicalTime) { writeResolved(write, status, version, logicalTime); })
 {}
 
 bool Shard::isOwner() const
@@ -78,16 +79,16 @@
 
 bool Shard::canServe() const
 {
-    if (m_stopped || !isOwner() || m_refused || m_highestEpoch > m_row->epoch)
+    if (m_stopped || !isOwner() || m_needsNewEpoch || m_highestEpoch > m_row->epoch)
         return false;
-    // After any of these writes another daemon, or another epoch, may own the shard.
+    // Each of these writes, once in effect, ends this epoch.
     if (m_writer.isPending(WriteKind::HandOver) || m_writer.isPending(WriteKind::Renew)
         || m_writer.isPending(WriteKind::Recover)) {
         return false;
     }
     const Base::TimePoint now = m_context.timers.now();
     return std::ranges::all_of(requiredReplicas(), [&](const Storage::Replica &it) {
-        return m_context.ledger.isUnbrokenSince(it, m_rowStamp, now);
+        return m_context.leaseTracker.isUnbrokenSince(it, m_rowLogicalTime, now);
     });
 }
 
@@ -101,12 +102,12 @@
     return holdsLease() ? std::optional(m_row->epoch) : std::nullopt;
 }
 
-bool Shard::hasCompleteKnowledge() const
+bool Shard::hasAllRecords() const
 {
     return isOwner() && m_incompleteEpoch != m_row->epoch;
 }
 
-void Shard::updateService()
+void Shard::updateServing()
 {
     const bool canServeNow = canServe();
     if (m_serving && !canServeNow) {
@@ -116,8 +117,8 @@
         Base::log(LogLevel::Info, "shardAcquired",
                   {{"shard", m_index},
                    {"epoch", m_row->epoch},
-                   {"complete", static_cast<int>(hasCompleteKnowledge())}});
-        m_context.observer.shardAcquired(m_index, m_row->epoch, hasCompleteKnowledge());
+                   {"complete", static_cast<int>(hasAllRecords())}});
+        m_context.observer.shardAcquired(m_index, m_row->epoch, hasAllRecords());
     }
     std::vector<Storage::Replica> replicas = requiredAcknowledgements();
     if (replicas != m_reportedReplicas) {
@@ -145,7 +146,7 @@
 Base::Epoch Shard::highestKnownEpoch() const
 {
     Base::Epoch result = m_highestEpoch;
-    // Records of the old owner must not be accepted once the takeover may have happened.
+    // Records of the previous owner must not be accepted once the takeover may have taken effect.
     if (m_writer.isPending() && m_writer.write().previousOwner != m_context.self)
         result = std::max(result, m_writer.write().target.epoch);
     return result;
@@ -176,14 +177,14 @@
     m_highestEpoch = epoch;
     m_highestOwner = owner;
     m_readWanted = true;
-    updateService();
+    updateServing();
 }
 
 void Shard::ownershipRefused(Base::Epoch known)
 {
     if (!isOwner() || known < m_row->epoch)
-        return; // Refers to an earlier epoch of this daemon.
-    m_refused = true;
+        return; // The refusal is of an earlier epoch of this daemon.
+    m_needsNewEpoch = true;
     m_readWanted = true;
     stopServing("refusedByReplica");
     step();
@@ -199,7 +200,8 @@
 void Shard::addReplica(const Storage::Replica &replica, Callback callback)
 {
     if (!holdsLease()) {
-        callback(makeFailure(FailureCode::NoLease, "the shard is not in service here"));
+        callback(
+            makeFailure(FailureCode::NoLease, "this daemon does not hold the lease of the shard"));
         return;
     }
     const Storage::Replica *listed = m_row->findReplica(replica.daemon);
@@ -208,7 +210,9 @@
         return;
     }
     if (m_join || (!listed && m_row->replicas.size() >= Constants::MAX_REPLICAS)) {
-        callback(makeFailure(FailureCode::Overloaded, "no room for another replica now"));
+        callback(
+            makeFailure(FailureCode::Overloaded,
+                        "the shard has the maximum of replicas, or another replica is joining"));
         return;
     }
     m_join = {replica, m_context.timers.now() + Constants::JOIN_TIMEOUT_MS, std::move(callback)};
@@ -219,11 +223,13 @@
 void Shard::handOver(const Base::DaemonId &to, Callback callback)
 {
     if (!holdsLease()) {
-        callback(makeFailure(FailureCode::NoLease, "the shard is not in service here"));
+        callback(
+            makeFailure(FailureCode::NoLease, "this daemon does not hold the lease of the shard"));
     } else if (to == m_context.self || !m_row->findReplica(to)) {
-        callback(makeFailure(FailureCode::BadRequest, "the daemon is not an in-sync replica"));
+        callback(makeFailure(FailureCode::BadRequest,
+                             "the new owner must be another daemon that is an in-sync replica"));
     } else if (m_writer.isPending()) {
-        callback(makeFailure(FailureCode::Overloaded, "another change of the row is in progress"));
+        callback(makeFailure(FailureCode::Overloaded, "another write of the shard row is pending"));
     } else {
         Storage::ShardRow target = *m_row;
         target.owner = to;
@@ -235,7 +241,9 @@
 void Shard::recover(Callback callback)
 {
     if (holdsLease() || m_recover || m_writer.isPending()) {
-        callback(makeFailure(FailureCode::Overloaded, "the shard is in service or being changed"));
+        callback(
+            makeFailure(FailureCode::Overloaded,
+                        "the lease is held, or a recovery or a write of the shard row is pending"));
         return;
     }
     m_recover = std::move(callback);
@@ -246,18 +254,19 @@
 
 void Shard::read()
 {
-    updateService(); // A lapse must be noticed before a new read can end it.
+    updateServing(); // Detects a lapse before the read can end it.
     m_reading = true;
     m_readWanted = false;
     m_context.table.read(m_key, [this, alive = std::weak_ptr(m_alive),
-                                 stamp = m_context.ledger.nextStamp()](const absl::Status &status,
-                                                                       const Storage::Row &row) {
+                                 logicalTime = m_context.leaseTracker.nextLogicalTime()](
+                                    const absl::Status &status, const Storage::Row &row) {
         if (!alive.expired())
-            readFinished(status, row, stamp);
+            readFinished(status, row, logicalTime);
     });
 }
 
-void Shard::readFinished(const absl::Status &status, const Storage::Row &row, Stamp stamp)
+void Shard::readFinished(const absl::Status &status, const Storage::Row &row,
+                         LogicalTime logicalTime)
 {
     m_reading = false;
     std::optional<Storage::ShardRow> decoded;
@@ -272,13 +281,14 @@
         m_readableSince = Base::TimePoint::max();
         backOff();
         if (const Callback callback = std::exchange(m_recover, nullptr))
-            callback(makeFailure(FailureCode::PlatformUnavailable, "the row can't be read"));
+            callback(makeFailure(FailureCode::PlatformUnavailable,
+                                 "the shard row can't be read or decoded"));
         return;
     }
     m_backoff = Constants::TABLE_BACKOFF_MIN_MS;
     m_readableSince = std::min(m_readableSince, m_context.timers.now());
-    adopt(std::move(decoded), row.version, stamp);
-    m_writer.observe(row);
+    applyRow(std::move(decoded), row.version, logicalTime);
+    m_writer.resolveFrom(row);
     step();
 }
 
@@ -293,13 +303,14 @@
     return m_context.timers.now() - m_confirmedAt <= Constants::ROW_FRESH_MS;
 }
 
-void Shard::adopt(std::optional<Storage::ShardRow> row, std::uint64_t version, Stamp stamp)
+void Shard::applyRow(std::optional<Storage::ShardRow> row, std::uint64_t version,
+                     LogicalTime logicalTime)
 {
     if (m_rowKnown && version < m_version)
-        return; // Overtaken by a later row.
-    // A row of an older epoch is a fault of the table: serving stops until it is corrected.
-    EP_ASSERT(!m_row || (row && row->epoch >= m_row->epoch), m_refused = true; return );
-    EP_ASSERT(!row || row->findReplica(row->owner), m_refused = true; return );
+        return; // A later version is already known.
+    // A row of an older epoch is a fault of the table: the lease is given up until it is corrected.
+    EP_ASSERT(!m_row || (row && row->epoch >= m_row->epoch), m_needsNewEpoch = true; return );
+    EP_ASSERT(!row || row->findReplica(row->owner), m_needsNewEpoch = true; return );
     const Base::TimePoint now = m_context.timers.now();
     const bool wasOwner = isOwner();
     if (!m_rowKnown || (row && !m_row) || (row && row->epoch > m_row->epoch))
@@ -311,13 +322,13 @@
     m_rowKnown = true;
     m_row = std::move(row);
     m_version = version;
-    m_rowStamp = std::max(m_rowStamp, stamp);
+    m_rowLogicalTime = std::max(m_rowLogicalTime, logicalTime);
     m_confirmedAt = now;
     if (!isOwner())
-        m_refused = false;
+        m_needsNewEpoch = false;
     if (isOwner() && !wasOwner)
         m_context.leaseRoundWanted = true;
-    updateService();
+    updateServing();
 }
 
 Base::Epoch Shard::nextEpoch() const
@@ -339,12 +350,12 @@
     m_writer.send({kind, std::move(target), m_version, previousOwner, std::move(done)},
                   fmt::format("{}/{}/{}/{}", m_context.self.value(), m_context.incarnation.value(),
                               m_index.value(), m_context.transactions),
-                  m_context.ledger.nextStamp());
-    updateService();
+                  m_context.leaseTracker.nextLogicalTime());
+    updateServing();
 }
 
 void Shard::writeResolved(const RowWrite &write, const absl::Status &status, std::uint64_t version,
-                          Stamp stamp)
+                          LogicalTime logicalTime)
 {
     Base::log(LogLevel::Info, "shardRowWritten",
               {{"shard", m_index},
@@ -353,18 +364,18 @@
     if (status.ok()) {
         m_backoff = Constants::TABLE_BACKOFF_MIN_MS;
         if (write.kind == WriteKind::Renew)
-            m_refused = false;
-        adopt(write.target, version, stamp);
+            m_needsNewEpoch = false;
+        applyRow(write.target, version, logicalTime);
         if (write.kind == WriteKind::HandOver) {
             m_context.port.send(write.target.owner,
                                 Wire::HandOver{m_index.value(), write.target.epoch.value()});
         }
     } else if (Base::failureCode(status) == FailureCode::VersionMismatch) {
         m_readWanted = true;
-        updateService();
+        updateServing();
     } else {
         backOff();
-        updateService();
+        updateServing();
     }
     if (write.done)
         write.done(status);
--- a/src/libs/ownership/shardownership.cpp
+++ b/src/libs/ownership/shardownership.cpp
@@ -1,4 +1,4 @@
-// Dispatches time, messages and calls to the shards.
+// Dispatches timer events, messages and calls to the shards.
 #include "shardownership.h"
 
 #include "context.h"
@@ -28,8 +28,8 @@
     void tick();
     void sendLeaseRequests();
     void stepAll();
-    /// Sends lease requests that an event made necessary.
-    void finishEvent();
+    /// Sends lease requests if the tick or an event has asked for them.
+    void sendLeaseRequestsIfWanted();
     void receive(const Wire::PeerIdentity &from, const Wire::LeaseRequest &message);
     void receive(const Wire::PeerIdentity &from, const Wire::LeasePromise &message);
     void receive(const Wire::PeerIdentity &from, const Wire::HandOver &message);
@@ -69,7 +69,7 @@
 void ShardOwnership::Private::tick()
 {
     const Base::TimePoint now = context.timers.now();
-    if (now - lastTick >= Constants::PAUSE_MS) {
+    if (now - lastTick >= Constants::PAUSE_THRESHOLD_MS) {
         Base::log(Base::LogLevel::Warning, "processPaused", {{"duration", now - lastTick}});
         context.resumedAt = now;
     }
@@ -78,7 +78,7 @@
     if (now >= nextLeaseRound)
         context.leaseRoundWanted = true;
     stepAll();
-    finishEvent();
+    sendLeaseRequestsIfWanted();
 }
 
 void ShardOwnership::Private::stepAll()
@@ -87,7 +87,7 @@
         shard.step();
 }
 
-void ShardOwnership::Private::finishEvent()
+void ShardOwnership::Private::sendLeaseRequestsIfWanted()
 {
     if (running && context.leaseRoundWanted)
         sendLeaseRequests();
@@ -105,7 +105,7 @@
     }
     if (targets.empty())
         return;
-    const std::uint64_t sequence = context.ledger.beginRound(now);
+    const std::uint64_t sequence = context.leaseTracker.beginRound(now);
     for (const Base::DaemonId &it : targets)
         context.port.send(it, Wire::LeaseRequest{sequence});
 }
@@ -113,22 +113,23 @@
 void ShardOwnership::Private::receive(const Wire::PeerIdentity &from,
                                       const Wire::LeaseRequest &message)
 {
-    // A takeover write with an unknown result may still take effect, and this daemon would then own
-    // a shard that the promise says it won't take.
+    // A takeover write with an unknown result may still take effect. This daemon would then own a
+    // shard that it has promised not to take over.
     const bool takingOver = std::ranges::any_of(
         shards, [&](const auto &it) { return it.second.hasPendingTakeoverFrom(from.daemon); });
     if (takingOver)
         return;
-    context.promises.promise({from.daemon, from.incarnation}, context.timers.now());
+    context.promiseTracker.record({from.daemon, from.incarnation}, context.timers.now());
     context.port.send(from.daemon, Wire::LeasePromise{message.sequence, context.takeovers});
 }
 
 void ShardOwnership::Private::receive(const Wire::PeerIdentity &from,
                                       const Wire::LeasePromise &message)
 {
-    // Notices a lapse before the promise can hide it.
+    // Detects a lapse before the promise can hide it.
     stepAll();
-    context.ledger.promiseReceived({from.daemon, from.incarnation}, message, context.timers.now());
+    context.leaseTracker.promiseReceived({from.daemon, from.incarnation}, message,
+                                         context.timers.now());
     stepAll();
 }
 
@@ -141,10 +142,10 @@
 void ShardOwnership::Private::receive(const Wire::PeerIdentity &from,
                                       const Wire::Heartbeat &message)
 {
-    Internal::PeerSighting &sighting = context.sightings[from.daemon];
-    if (from.incarnation < sighting.incarnation)
-        return; // Delayed message of an earlier run.
-    sighting = {from.incarnation, context.timers.now(), message.draining};
+    Internal::PeerHeartbeat &heartbeat = context.heartbeats[from.daemon];
+    if (from.incarnation < heartbeat.incarnation)
+        return; // A delayed message of an earlier incarnation.
+    heartbeat = {from.incarnation, context.timers.now(), message.draining};
     for (const Wire::OwnedShard &it : message.owned) {
         if (Shard *shard = findShard(Base::ShardIndex(it.shard)))
             shard->ownerSeen(Base::Epoch(it.epoch), from.daemon);
@@ -193,10 +194,10 @@
     return it ? it->leasedEpoch() : std::nullopt;
 }
 
-bool ShardOwnership::hasCompleteKnowledge(Base::ShardIndex shard) const
+bool ShardOwnership::hasAllRecords(Base::ShardIndex shard) const
 {
     const Shard *it = m_d->findShard(shard);
-    return it && it->hasCompleteKnowledge();
+    return it && it->hasAllRecords();
 }
 
 std::vector<Wire::OwnedShard> ShardOwnership::ownedShards() const
@@ -249,7 +250,8 @@
 
 static absl::Status notRunning()
 {
-    return Base::makeFailure(Base::FailureCode::NoLease, "unknown shard, or ownership is stopped");
+    return Base::makeFailure(Base::FailureCode::NoLease,
+                             "unknown shard, or shard ownership is not running");
 }
 
 void ShardOwnership::addReplica(Base::ShardIndex shard, const Base::DaemonId &daemon,
@@ -261,7 +263,7 @@
         return;
     }
     it->addReplica({daemon, incarnation}, std::move(callback));
-    m_d->finishEvent();
+    m_d->sendLeaseRequestsIfWanted();
 }
 
 void ShardOwnership::handOver(Base::ShardIndex shard, const Base::DaemonId &to, Callback callback)
@@ -291,7 +293,7 @@
                 m_d->receive(from, it);
         },
         message);
-    m_d->finishEvent();
+    m_d->sendLeaseRequestsIfWanted();
 }
 
 } // namespace Ownership
--- a/src/libs/ownership/shardownership.h
+++ b/src/libs/ownership/shardownership.h
@@ -1,4 +1,4 @@
-// Ownership of the shards of one failure domain: who may serve a shard, and who may take it over.
+// Ownership of the shards of one failure domain: which daemon may serve a shard or take it over.
 #pragma once
 
 #include "ownershipobserver.h"
@@ -24,7 +24,7 @@
     Base::Epoch epoch;
 };
 
-/// Identity of this daemon and of its surroundings.
+/// Identity of this daemon, and its failure domain.
 struct OwnershipSettings
 {
     Base::DaemonId self;
@@ -48,7 +48,8 @@
                    Wire::PeerPort &port, OwnershipObserver &observer);
     ~ShardOwnership() override;
 
-    /// Starts once; a stopped object is not started again, as its promises would be forgotten.
+    /// Can be called only once: a stopped object must not be started again, as its promises would
+    /// be forgotten.
     void start();
     /// Gives up all leases and answers no more lease requests. Rows are left as they are.
     void stop();
@@ -60,7 +61,7 @@
     std::optional<Base::Epoch> leasedEpoch(Base::ShardIndex shard) const;
     /// False if records of earlier owners were lost when this daemon became the owner, or if it is
     /// not the owner.
-    bool hasCompleteKnowledge(Base::ShardIndex shard) const;
+    bool hasAllRecords(Base::ShardIndex shard) const;
     /// Shards whose lease is held, for the heartbeat.
     std::vector<Wire::OwnedShard> ownedShards() const;
     /// The other daemons whose acknowledgement a record of \a shard needs now. A daemon counts from
@@ -74,7 +75,7 @@
     /// The highest epoch that may be in force; an owner of an older one must be refused.
     Base::Epoch highestKnownEpoch(Base::ShardIndex shard) const;
 
-    /// A replica refused a record because it knows the epoch \a known. Stops the shard at once.
+    /// A replica refused a record because it knows the epoch \a known. Gives up the lease at once.
     void ownershipRefused(Base::ShardIndex shard, Base::Epoch known);
     /// Adds \a daemon, which has acknowledged a copy of all records, to the in-sync replicas. It is
     /// among requiredReplicas() from this call on, so records in progress must be sent to it too.
--- a/src/libs/ownership/shardsteps.cpp
+++ b/src/libs/ownership/shardsteps.cpp
@@ -1,4 +1,4 @@
-// What the owner of a shard, a candidate for it, or the creator of its row does next.
+// Steps of the owner of a shard, of a candidate, and of a daemon that finds no row.
 #include "shard.h"
 
 #include "ownershipconstants.h"
@@ -24,33 +24,35 @@
 {
     if (m_stopped)
         return;
-    updateService();
+    updateServing();
     const Base::TimePoint now = m_context.timers.now();
     if (m_join && now >= m_join->deadline)
-        finishJoin(makeFailure(FailureCode::PeerUnreachable, "no promise or no read in time"));
+        finishJoin(makeFailure(FailureCode::PeerUnreachable,
+                               "no lease promise or no row read before the join timed out"));
     if (m_writer.isPending() && !m_writer.needsRead()) {
-        m_writer.repeatIfDue();
+        m_writer.retryIfDue();
         return;
     }
     if (m_reading || now < m_nextTableAccess)
         return;
     // Spreads the regular reads of all daemons over time.
-    const Base::Duration poll = Constants::ROW_POLL_MS
-                                + std::chrono::milliseconds(rendezvousWeight(m_context.self, m_key)
-                                                            % (Constants::ROW_POLL_MS.count() / 4));
+    const Base::Duration poll =
+        Constants::ROW_POLL_INTERVAL_MS
+        + std::chrono::milliseconds(rendezvousWeight(m_context.self, m_key)
+                                    % (Constants::ROW_POLL_INTERVAL_MS.count() / 4));
     if (m_readWanted || m_writer.needsRead() || now - m_confirmedAt >= poll)
         read();
     else if (m_recover)
-        stepRecover();
+        startRecovery();
     else if (!m_row)
-        stepMissing();
+        createRowIfDue();
     else if (isOwner())
-        stepOwner();
+        stepAsOwner();
     else
-        stepCandidate();
+        takeOverIfDue();
 }
 
-void Shard::stepMissing()
+void Shard::createRowIfDue()
 {
     const std::uint64_t weight = rendezvousWeight(m_context.self, m_key);
     const auto rank = std::ranges::count_if(m_context.peers, [&](const Base::DaemonId &it) {
@@ -65,52 +67,52 @@
     write(WriteKind::Create, {Base::Epoch(1), m_context.self, {m_context.selfReplica()}});
 }
 
-void Shard::stepOwner()
+void Shard::stepAsOwner()
 {
-    if (m_refused || m_highestEpoch > m_row->epoch) {
-        // The row still names this daemon, so the other claim came to nothing. Replicas may have
-        // refused records meanwhile, so they join again.
-        const bool incomplete = !hasCompleteKnowledge();
+    if (m_needsNewEpoch || m_highestEpoch > m_row->epoch) {
+        // The row still names this daemon, so the claim of the other daemon failed. Replicas may
+        // have refused records meanwhile, so they join again.
+        const bool incomplete = !hasAllRecords();
         const Base::Epoch epoch = nextEpoch();
         if (incomplete)
             m_incompleteEpoch = epoch;
-        m_refused = true;
+        m_needsNewEpoch = true;
         write(WriteKind::Renew, {epoch, m_context.self, {m_context.selfReplica()}});
         return;
     }
-    if (stepRemoval())
+    if (removeReplicasIfDue())
         return;
     if (!m_serving) {
         const std::vector<Storage::Replica> required = requiredReplicas();
         const bool promised = std::ranges::all_of(required, [this](const Storage::Replica &it) {
-            return m_context.ledger.isValid(it, m_context.timers.now());
+            return m_context.leaseTracker.isValid(it, m_context.timers.now());
         });
-        // A replica may have taken over between two promises: only a read after the promises shows
+        // A replica may have taken over between two promises. Only a read after the promises shows
         // that it has not.
         if (promised)
             read();
         return;
     }
-    if (!stepJoin())
-        announceJoins();
+    if (!continueJoin())
+        requestJoins();
 }
 
-bool Shard::stepRemoval()
+bool Shard::removeReplicasIfDue()
 {
     const Base::TimePoint now = m_context.timers.now();
     Storage::ShardRow target = *m_row;
     std::erase_if(target.replicas, [&](const Storage::Replica &it) {
         if (it.daemon == m_context.self)
             return false;
-        const auto sighting = m_context.sightings.find(it.daemon);
-        if (sighting != m_context.sightings.end()
-            && sighting->second.incarnation > it.incarnation) {
-            return true; // It has restarted and lost its records.
+        const auto heartbeat = m_context.heartbeats.find(it.daemon);
+        if (heartbeat != m_context.heartbeats.end()
+            && heartbeat->second.incarnation > it.incarnation) {
+            return true; // The replica has restarted and lost its records.
         }
         const Base::TimePoint heardAt =
-            m_context.ledger.lastPromise(it).value_or(Base::TimePoint::min());
+            m_context.leaseTracker.lastPromise(it).value_or(Base::TimePoint::min());
         return now - std::max({heardAt, m_epochSeenAt, m_context.resumedAt})
-               >= Constants::REPLICA_SILENCE_MS;
+               >= Constants::REPLICA_TIMEOUT_MS;
     });
     if (target.replicas.size() == m_row->replicas.size())
         return false;
@@ -118,14 +120,14 @@
     return true;
 }
 
-bool Shard::stepJoin()
+bool Shard::continueJoin()
 {
     if (!m_join)
         return false;
     const Base::TimePoint now = m_context.timers.now();
-    if (!m_context.ledger.isValid(m_join->replica, now))
+    if (!m_context.leaseTracker.isValid(m_join->replica, now))
         return true;
-    if (!m_context.ledger.isUnbrokenSince(m_join->replica, m_rowStamp, now)) {
+    if (!m_context.leaseTracker.isUnbrokenSince(m_join->replica, m_rowLogicalTime, now)) {
         read();
         return true;
     }
@@ -134,7 +136,7 @@
         return it.daemon == m_join->replica.daemon;
     });
     if (target.replicas.size() >= Constants::MAX_REPLICAS) {
-        finishJoin(makeFailure(FailureCode::Overloaded, "no room for another replica"));
+        finishJoin(makeFailure(FailureCode::Overloaded, "the shard has the maximum of replicas"));
         return true;
     }
     target.replicas.push_back(m_join->replica);
@@ -153,49 +155,50 @@
     callback(status);
 }
 
-void Shard::announceJoins()
+void Shard::requestJoins()
 {
     const Base::TimePoint now = m_context.timers.now();
     std::vector<Base::DaemonId> wanted;
     for (const Base::DaemonId &it : m_context.peers) {
-        const PeerSighting *sighting = m_context.freshSighting(it);
+        const PeerHeartbeat *heartbeat = m_context.freshHeartbeat(it);
         const Storage::Replica *listed = m_row->findReplica(it);
-        if (sighting && !sighting->draining
-            && !(listed && listed->incarnation == sighting->incarnation)) {
+        if (heartbeat && !heartbeat->draining
+            && !(listed && listed->incarnation == heartbeat->incarnation)) {
             wanted.push_back(it);
         }
     }
-    // The longest unannounced first, so that one that fails to join does not block the others.
+    // Least recently requested first, so that a daemon that fails to join does not block others.
     std::ranges::sort(wanted, {}, [this](const Base::DaemonId &it) {
-        return std::pair(m_joinAnnouncedAt[it], rendezvousWeight(it, m_key));
+        return std::pair(m_joinRequestedAt[it], rendezvousWeight(it, m_key));
     });
     const std::size_t room =
         Constants::MAX_REPLICAS - std::min(Constants::MAX_REPLICAS, m_row->replicas.size());
     wanted.resize(std::min(room, wanted.size()));
     std::erase_if(wanted, [&](const Base::DaemonId &it) {
-        return now - m_joinAnnouncedAt[it] < Constants::JOIN_REPEAT_MS;
+        return now - m_joinRequestedAt[it] < Constants::JOIN_RETRY_INTERVAL_MS;
     });
     for (const Base::DaemonId &it : wanted) {
-        m_joinAnnouncedAt[it] = now;
-        m_context.observer.replicaJoinWanted(m_index, it, m_context.sightings[it].incarnation);
+        m_joinRequestedAt[it] = now;
+        m_context.observer.replicaJoinWanted(m_index, it, m_context.heartbeats[it].incarnation);
     }
 }
 
-void Shard::stepCandidate()
+void Shard::takeOverIfDue()
 {
     const Base::TimePoint now = m_context.timers.now();
     const Storage::Replica *owner = m_row->findReplica(m_row->owner);
     EP_ASSERT(owner, return );
-    if (m_context.promises.isBound(*owner, now))
+    if (m_context.promiseTracker.isBoundTo(*owner, now))
         return;
-    const std::optional<Base::TimePoint> promisedAt = m_context.promises.lastPromise(*owner);
+    const std::optional<Base::TimePoint> promisedAt = m_context.promiseTracker.lastPromise(*owner);
     const auto self = std::ranges::find(m_row->replicas, m_context.self, &Storage::Replica::daemon);
     const Base::Duration readAge = now - m_confirmedAt;
     if (self == m_row->replicas.end()) {
-        // A daemon that has promised to the owner may have been added without its knowledge.
-        if ((promisedAt && readAge >= Constants::CANDIDATE_READ_MS)
-            || (!m_context.freshSighting(owner->daemon)
-                && readAge >= Constants::SILENT_OWNER_READ_MS)) {
+        // A daemon that has given the owner a promise may have been added as a replica without
+        // having learnt of it.
+        if ((promisedAt && readAge >= Constants::CANDIDATE_READ_INTERVAL_MS)
+            || (!m_context.freshHeartbeat(owner->daemon)
+                && readAge >= Constants::SILENT_OWNER_READ_INTERVAL_MS)) {
             read();
         }
         return;
@@ -204,17 +207,18 @@
     const auto rank = self - m_row->replicas.begin();
     const Base::Duration wait =
         inSync ? Constants::PROMISE_MS : Constants::RESTARTED_REPLICA_WAIT_MS;
-    // A promise given before a restart is forgotten, so the wait counts from the start, too.
+    // Promises given before a restart are not known any more, so the wait begins at the start of
+    // this run at the earliest.
     Base::TimePoint waitStart = std::max(m_context.startedAt, m_epochSeenAt);
     if (!inSync)
         waitStart = std::max(waitStart, m_readableSince);
     if (promisedAt)
         waitStart = std::max(waitStart, *promisedAt);
-    // After a pause, lease requests that arrived meanwhile are still to be processed.
-    const bool due = now >= m_context.resumedAt + Constants::REPLICA_SILENCE_MS
+    // After a pause, lease requests that arrived meanwhile are processed first.
+    const bool due = now >= m_context.resumedAt + Constants::REPLICA_TIMEOUT_MS
                      && now - waitStart >= wait + rank * Constants::TAKEOVER_STAGGER_MS;
     if (!isRowFresh()) {
-        if (due || (!inSync && readAge >= Constants::CANDIDATE_READ_MS))
+        if (due || (!inSync && readAge >= Constants::CANDIDATE_READ_INTERVAL_MS))
             read();
         return;
     }
@@ -226,12 +230,14 @@
     write(WriteKind::TakeOver, {epoch, m_context.self, {m_context.selfReplica()}});
 }
 
-void Shard::stepRecover()
+void Shard::startRecovery()
 {
     const Callback callback = std::exchange(m_recover, nullptr);
     const Storage::Replica *owner = m_row ? m_row->findReplica(m_row->owner) : nullptr;
-    if (m_serving || (owner && m_context.promises.isBound(*owner, m_context.timers.now()))) {
-        callback(makeFailure(FailureCode::BadRequest, "the owner of the shard is alive"));
+    if (m_serving
+        || (owner && m_context.promiseTracker.isBoundTo(*owner, m_context.timers.now()))) {
+        callback(makeFailure(FailureCode::BadRequest,
+                             "the owner of the shard may still hold the lease"));
         return;
     }
     const Base::Epoch epoch = nextEpoch();
--- a/tests/auto/ownership/tst_ownership.cpp
+++ b/tests/auto/ownership/tst_ownership.cpp
@@ -35,7 +35,7 @@
         BOOST_REQUIRE(cluster.holder());
         BOOST_TEST(cluster.row().epoch == Epoch(1));
         BOOST_TEST(cluster.row().replicas.size() == 1U);
-        BOOST_TEST(cluster.holder()->ownership.hasCompleteKnowledge(SHARD));
+        BOOST_TEST(cluster.holder()->ownership.hasAllRecords(SHARD));
     }
 }
 
@@ -62,7 +62,7 @@
     cluster.kill(owner.identity.daemon);
     cluster.run(3s);
     BOOST_REQUIRE(cluster.holder());
-    BOOST_TEST(cluster.holder()->ownership.hasCompleteKnowledge(SHARD));
+    BOOST_TEST(cluster.holder()->ownership.hasAllRecords(SHARD));
     BOOST_TEST(cluster.row().epoch == Epoch(2));
     BOOST_TEST(cluster.holder()->ownership.knownOwner(SHARD)->epoch == Epoch(2));
 }
@@ -129,7 +129,7 @@
     cluster.run(2s);
     BOOST_REQUIRE(cluster.holder());
     BOOST_TEST(cluster.holder()->identity.daemon == replica);
-    BOOST_TEST(!cluster.holder()->ownership.hasCompleteKnowledge(SHARD));
+    BOOST_TEST(!cluster.holder()->ownership.hasAllRecords(SHARD));
 }
 
 // (d) Guards against counting the promise of a restarted replica for the run that is listed: a
@@ -254,7 +254,7 @@
     cluster.settle();
     const std::uint64_t reads = cluster.table.readCount;
     const std::uint64_t writes = cluster.table.writeCount;
-    cluster.run(Constants::ROW_POLL_MS);
+    cluster.run(Constants::ROW_POLL_INTERVAL_MS);
     BOOST_TEST(cluster.table.writeCount == writes);
     BOOST_TEST(cluster.table.readCount <= reads + 3U); // one regular read by each daemon
 }
@@ -338,7 +338,7 @@
         }
         cluster.run(1s);
         BOOST_TEST(next.holds());
-        BOOST_TEST(next.ownership.hasCompleteKnowledge(SHARD));
+        BOOST_TEST(next.ownership.hasAllRecords(SHARD));
         BOOST_TEST(cluster.row().epoch == Epoch(2));
         BOOST_TEST(cluster.row().replicas.size() == 3U);
     }
@@ -370,7 +370,7 @@
     BOOST_TEST(!cluster.holder());
     cluster.run(2s);
     BOOST_REQUIRE(cluster.holder());
-    BOOST_TEST(!cluster.holder()->ownership.hasCompleteKnowledge(SHARD));
+    BOOST_TEST(!cluster.holder()->ownership.hasAllRecords(SHARD));
 }
 
 // (k) Guards the operator's way out when all listed replicas are gone, and against using it by
@@ -400,7 +400,7 @@
     lost.run(1s);
     BOOST_TEST((code == Base::FailureCode::None));
     BOOST_TEST(spare.holds());
-    BOOST_TEST(!spare.ownership.hasCompleteKnowledge(SHARD));
+    BOOST_TEST(!spare.ownership.hasAllRecords(SHARD));
     BOOST_TEST(lost.row().epoch == Epoch(2));
 }
 
