--- a/src/plugins/ownershipservice/ownershipservice.cpp
+++ b/src/plugins/ownershipservice/ownershipservice.cpp
@@ -1,4 +1,4 @@
-// Wiring of the ownership library.
+// Creates the shard ownership of this daemon and forwards calls of other services to it.
 #include "ownershipservice.h"
 
 #include <base/failure.h>
@@ -33,12 +33,12 @@
     cluster->setOwnedProvider([this] { return ownedShards(); });
     manifest->observe([this](const ManifestService::ManifestHolder::Snapshot &snapshot) {
         if (!m_ownership)
-            create(*snapshot);
+            createOwnership(*snapshot);
     });
     return absl::OkStatus();
 }
 
-void OwnershipServiceImpl::create(const Manifest::Manifest &manifest)
+void OwnershipServiceImpl::createOwnership(const Manifest::Manifest &manifest)
 {
     EP_ASSERT(m_observer, return);
     Ownership::OwnershipSettings settings;
@@ -63,7 +63,7 @@
         m_ownership->stop();
 }
 
-bool OwnershipServiceImpl::isShard(Base::ShardIndex shard) const
+bool OwnershipServiceImpl::isKnownShard(Base::ShardIndex shard) const
 {
     return m_ownership && shard.value() < m_shardCount;
 }
@@ -75,35 +75,36 @@
 
 std::optional<Base::Epoch> OwnershipServiceImpl::leasedEpoch(Base::ShardIndex shard) const
 {
-    return isShard(shard) ? m_ownership->leasedEpoch(shard) : std::nullopt;
+    return isKnownShard(shard) ? m_ownership->leasedEpoch(shard) : std::nullopt;
 }
 
 std::vector<Base::DaemonId> OwnershipServiceImpl::requiredReplicas(Base::ShardIndex shard) const
 {
-    return isShard(shard) ? m_ownership->requiredReplicas(shard) : std::vector<Base::DaemonId>();
+    return isKnownShard(shard) ? m_ownership->requiredReplicas(shard)
+                               : std::vector<Base::DaemonId>();
 }
 
 bool OwnershipServiceImpl::acceptsReplication(Base::ShardIndex shard, Base::Epoch epoch,
                                               const Wire::PeerIdentity &from)
 {
-    return isShard(shard) && m_ownership->acceptsReplication(shard, epoch, from);
+    return isKnownShard(shard) && m_ownership->acceptsReplication(shard, epoch, from);
 }
 
 Base::Epoch OwnershipServiceImpl::highestKnownEpoch(Base::ShardIndex shard) const
 {
-    return isShard(shard) ? m_ownership->highestKnownEpoch(shard) : Base::Epoch();
+    return isKnownShard(shard) ? m_ownership->highestKnownEpoch(shard) : Base::Epoch();
 }
 
 void OwnershipServiceImpl::ownershipRefused(Base::ShardIndex shard, Base::Epoch knownEpoch)
 {
-    if (isShard(shard))
+    if (isKnownShard(shard))
         m_ownership->ownershipRefused(shard, knownEpoch);
 }
 
 void OwnershipServiceImpl::addReplica(Base::ShardIndex shard, const Base::DaemonId &daemon,
                                       Base::Incarnation incarnation, Callback callback)
 {
-    if (!isShard(shard)) {
+    if (!isKnownShard(shard)) {
         callback(makeFailure(FailureCode::NoLease, "no manifest is in force yet"));
         return;
     }
--- a/src/plugins/ownershipservice/ownershipservice.h
+++ b/src/plugins/ownershipservice/ownershipservice.h
@@ -12,8 +12,8 @@
 
 namespace OwnershipService {
 
-/// Starts the ownership library when the first manifest tells the number of shards, and connects it
-/// to the jobs library.
+/// Creates and starts ShardOwnership when the first manifest arrives, which states the number of
+/// shards, and implements the jobs library's ShardAuthority with it.
 class OwnershipServiceImpl : public Kernel::Service, public Jobs::ShardAuthority
 {
 public:
@@ -40,8 +40,8 @@
                     Base::Incarnation incarnation, Callback callback) override;
 
 private:
-    void create(const Manifest::Manifest &manifest);
-    bool isShard(Base::ShardIndex shard) const;
+    void createOwnership(const Manifest::Manifest &manifest);
+    bool isKnownShard(Base::ShardIndex shard) const;
 
     const Settings::Runtime m_runtime;
     Storage::Table *m_table = nullptr;
--- a/tests/auto/ownership/daemoncluster.h
+++ b/tests/auto/ownership/daemoncluster.h
@@ -1,4 +1,4 @@
-// Several ShardOwnership objects over fakes, with the invariants that must hold at every instant.
+// Simulates several daemons with fake network and table, and checks invariants after every step.
 #pragma once
 
 #include <base/failure.h>
@@ -30,7 +30,7 @@
 
 class DaemonCluster;
 
-/// One run of a daemon. Its records stand for those of the jobs library.
+/// One run of a daemon. Its records stand for those that the jobs library replicates.
 class SimulatedDaemon : public Ownership::OwnershipObserver
 {
 public:
@@ -43,8 +43,8 @@
     void replicaJoinWanted(ShardIndex shard, const DaemonId &daemon,
                            Base::Incarnation incarnation) override;
 
-    bool holds(ShardIndex shard = SHARD) const { return ownership.holdsLease(shard); }
-    bool requires_(const DaemonId &daemon) const
+    bool holdsLease(ShardIndex shard = SHARD) const { return ownership.holdsLease(shard); }
+    bool requiresReplica(const DaemonId &daemon) const
     {
         return std::ranges::count(ownership.requiredReplicas(SHARD), daemon) > 0;
     }
@@ -57,7 +57,7 @@
     std::map<ShardIndex, std::set<int>> records;
     int lostCount = 0;
     bool heartbeats = true;
-    std::vector<bool> acquired; // completeKnowledge of each acquisition
+    std::vector<bool> acquired; // for each acquisition, whether all records were there
     Ownership::ShardOwnership ownership;
 
 private:
@@ -94,38 +94,38 @@
     }
     void kill(const DaemonId &id) { daemons.erase(id); }
 
-    SimulatedDaemon *holder(ShardIndex shard = SHARD) const
+    SimulatedDaemon *leaseHolder(ShardIndex shard = SHARD) const
     {
         for (const auto &[id, daemon] : daemons) {
-            if (daemon->holds(shard))
+            if (daemon->holdsLease(shard))
                 return daemon.get();
         }
         return nullptr;
     }
-    /// Starts all and waits until the owner has all the others as replicas.
+    /// Starts all daemons and waits until all others are replicas of the owner.
     SimulatedDaemon &settle()
     {
         startAll();
         run(5s);
-        SimulatedDaemon *owner = holder();
+        SimulatedDaemon *owner = leaseHolder();
         BOOST_REQUIRE(owner);
         BOOST_REQUIRE(row().replicas.size() == ids.size());
         return *owner;
     }
-    /// Some daemon that is not \a not_.
-    SimulatedDaemon &other(const SimulatedDaemon &not_) const
+    /// Any daemon other than \a excluded.
+    SimulatedDaemon &other(const SimulatedDaemon &excluded) const
     {
         for (const auto &[id, daemon] : daemons) {
-            if (daemon.get() != &not_)
+            if (daemon.get() != &excluded)
                 return *daemon;
         }
         throw std::logic_error("no other daemon");
     }
 
-    void run(Base::Duration duration, Base::Duration pace = 10ms)
+    void run(Base::Duration duration, Base::Duration step = 10ms)
     {
-        for (Base::Duration done{}; done < duration; done += pace) {
-            clock.advance(pace);
+        for (Base::Duration elapsed{}; elapsed < duration; elapsed += step) {
+            clock.advance(step);
             check();
         }
     }
@@ -136,10 +136,10 @@
         return it == m_rows.end() ? Storage::ShardRow() : it->second;
     }
 
-    /// The owner commits a record if all required replicas accept it.
+    /// Writes a record at the owner, which commits it if all required replicas accept it.
     void commitRecord(ShardIndex shard)
     {
-        SimulatedDaemon *owner = holder(shard);
+        SimulatedDaemon *owner = leaseHolder(shard);
         if (!owner || owner->timers.isPaused())
             return;
         const int record = ++lastRecord;
@@ -169,7 +169,7 @@
         return true;
     }
 
-    void violation(const std::string &text)
+    void reportViolation(const std::string &text)
     {
         BOOST_ERROR(text << " (seed " << seed << ")");
         violated = true;
@@ -181,10 +181,10 @@
             const ShardIndex shard(i);
             SimulatedDaemon *found = nullptr;
             for (const auto &[id, daemon] : daemons) {
-                if (!daemon->holds(shard))
+                if (!daemon->holdsLease(shard))
                     continue;
                 if (found)
-                    violation("two daemons hold the lease of one shard");
+                    reportViolation("two daemons hold the lease of one shard");
                 found = daemon.get();
             }
             if (!found)
@@ -192,7 +192,7 @@
             const auto required = found->ownership.requiredReplicas(shard);
             for (const Storage::Replica &it : m_rows[shard].replicas) {
                 if (it.daemon != found->identity.daemon && !std::ranges::count(required, it.daemon))
-                    violation("a listed replica is not required");
+                    reportViolation("a listed replica is not required");
             }
         }
     }
@@ -204,7 +204,7 @@
     const std::vector<DaemonId> ids;
     std::map<DaemonId, std::unique_ptr<SimulatedDaemon>> daemons;
     std::map<ShardIndex, std::set<int>> committed;
-    /// Replicas that were listed when each epoch was written.
+    /// For each epoch, the replicas in the row that it replaced.
     std::map<std::pair<ShardIndex, Epoch>, std::vector<Storage::Replica>> listedBefore;
     std::map<ShardIndex, std::pair<Epoch, Storage::Replica>> lastAcquired;
     bool autoJoin = true;
@@ -223,7 +223,7 @@
         if (row.epoch > old.epoch)
             listedBefore[{shard, row.epoch}] = old.replicas;
         else if (row.epoch < old.epoch || row.owner != old.owner)
-            violation("the owner changed without a higher epoch");
+            reportViolation("the owner changed without a higher epoch");
     }
 
     std::map<ShardIndex, Storage::ShardRow> m_rows; // decoded rows of the table
@@ -259,17 +259,17 @@
     if (last != cluster.lastAcquired.end()
         && (epoch < last->second.first
             || (epoch == last->second.first && !(self == last->second.second)))) {
-        cluster.violation("the epoch of owners did not grow");
+        cluster.reportViolation("a shard was acquired under an epoch that is too low");
     }
     cluster.lastAcquired[shard] = {epoch, self};
     const auto &listed = cluster.listedBefore[{shard, epoch}];
     if (complete && epoch > Epoch(1) && !std::ranges::count(listed, self))
-        cluster.violation("an unlisted incarnation claims complete knowledge");
+        cluster.reportViolation("an incarnation that was not listed claims to have all records");
     std::set<int> &committed = cluster.committed[shard];
     if (!complete)
         committed = {};
     if (!std::ranges::includes(records[shard], committed))
-        cluster.violation("a committed record is missing after an acquisition");
+        cluster.reportViolation("a committed record is missing after an acquisition");
 }
 
 inline void SimulatedDaemon::replicaJoinWanted(ShardIndex shard, const DaemonId &daemon,
--- a/tests/auto/ownership/tst_ownership.cpp
+++ b/tests/auto/ownership/tst_ownership.cpp
@@ -1,4 +1,5 @@
-// Table of hazards of shard ownership. The invariants in DaemonCluster::check() apply throughout.
+// Tests of the hazards of shard ownership, (a) to (k). DaemonCluster::check() is applied
+// throughout.
 #include "daemoncluster.h"
 
 #include <base/log.h>
@@ -8,22 +9,22 @@
 
 namespace {
 
-struct QuietLog
+struct ErrorLogOnly
 {
-    QuietLog() { Base::setLogLevel(Base::LogLevel::Error); }
+    ErrorLogOnly() { Base::setLogLevel(Base::LogLevel::Error); }
 };
 
-/// Fates of a write whose reply is lost.
+/// Outcomes of a write whose reply is lost.
 const TableFault LOST_REPLIES[] = {TableFault::LostBefore, TableFault::LostAfter,
                                    TableFault::Delayed};
-const auto IGNORE = [](const absl::Status &) {};
+const auto IGNORE_STATUS = [](const absl::Status &) {};
 
 } // namespace
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(ErrorLogOnly);
 
-// Guards against two creators of a missing row, and against waiting for a preferred one that is
-// down.
+// Guards against two daemons that both create a missing row, and against waiting for the preferred
+// creator while it is down.
 BOOST_AUTO_TEST_CASE(missingRowIsCreatedOnce)
 {
     for (const char *missing : {"", "a", "b", "c"}) {
@@ -32,10 +33,10 @@
         cluster.startAll();
         cluster.kill(DaemonId(missing));
         cluster.run(3s);
-        BOOST_REQUIRE(cluster.holder());
+        BOOST_REQUIRE(cluster.leaseHolder());
         BOOST_TEST(cluster.row().epoch == Epoch(1));
         BOOST_TEST(cluster.row().replicas.size() == 1U);
-        BOOST_TEST(cluster.holder()->ownership.hasAllRecords(SHARD));
+        BOOST_TEST(cluster.leaseHolder()->ownership.hasAllRecords(SHARD));
     }
 }
 
@@ -46,14 +47,14 @@
     cluster.autoJoin = false;
     cluster.startAll();
     cluster.run(3s);
-    BOOST_REQUIRE(cluster.holder());
-    cluster.kill(cluster.holder()->identity.daemon);
+    BOOST_REQUIRE(cluster.leaseHolder());
+    cluster.kill(cluster.leaseHolder()->identity.daemon);
     cluster.run(60s);
-    BOOST_TEST(!cluster.holder());
+    BOOST_TEST(!cluster.leaseHolder());
     BOOST_TEST(cluster.row().epoch == Epoch(1));
 }
 
-// Guards the goal that a takeover completes within 3 s, with the records.
+// Guards against a takeover that takes longer than 3 s or loses records.
 BOOST_AUTO_TEST_CASE(inSyncReplicaTakesOver)
 {
     DaemonCluster cluster({"a", "b", "c"});
@@ -61,10 +62,10 @@
     cluster.commitRecord(SHARD);
     cluster.kill(owner.identity.daemon);
     cluster.run(3s);
-    BOOST_REQUIRE(cluster.holder());
-    BOOST_TEST(cluster.holder()->ownership.hasAllRecords(SHARD));
+    BOOST_REQUIRE(cluster.leaseHolder());
+    BOOST_TEST(cluster.leaseHolder()->ownership.hasAllRecords(SHARD));
     BOOST_TEST(cluster.row().epoch == Epoch(2));
-    BOOST_TEST(cluster.holder()->ownership.knownOwner(SHARD)->epoch == Epoch(2));
+    BOOST_TEST(cluster.leaseHolder()->ownership.knownOwner(SHARD)->epoch == Epoch(2));
 }
 
 // (b) Guards against a promise to the old owner while a takeover write may still take effect.
@@ -84,11 +85,11 @@
     BOOST_TEST((candidate.ownership.highestKnownEpoch(SHARD) == Epoch(2)));
     for (int i = 0; i < 600 && cluster.row().epoch == Epoch(1); ++i) {
         cluster.run(10ms);
-        BOOST_TEST(!owner.holds());
+        BOOST_TEST(!owner.holdsLease());
     }
     BOOST_TEST(cluster.row().owner == candidate.identity.daemon);
     cluster.run(5s);
-    BOOST_TEST(candidate.holds());
+    BOOST_TEST(candidate.holdsLease());
 }
 
 // (c) Guards against an owner that acts on an expired lease after a pause.
@@ -98,23 +99,23 @@
     SimulatedDaemon &owner = cluster.settle();
     owner.timers.pause();
     cluster.run(5s);
-    BOOST_TEST(!owner.holds());
-    BOOST_REQUIRE(cluster.holder());
+    BOOST_TEST(!owner.holdsLease());
+    BOOST_REQUIRE(cluster.leaseHolder());
     owner.timers.resume();
-    BOOST_TEST(!owner.holds());
+    BOOST_TEST(!owner.holdsLease());
     cluster.run(5s);
-    BOOST_TEST(!owner.holds());
+    BOOST_TEST(!owner.holdsLease());
     BOOST_TEST(owner.lostCount == 1);
 
-    SimulatedDaemon &next = *cluster.holder();
+    SimulatedDaemon &next = *cluster.leaseHolder();
     cluster.clock.jump(Constants::LEASE_MS);
-    BOOST_TEST(!next.holds());
+    BOOST_TEST(!next.holdsLease());
     cluster.run(15s);
-    BOOST_TEST(cluster.holder());
+    BOOST_TEST(cluster.leaseHolder());
 }
 
-// (d) Guards against a restarted replica that has forgotten its promises to a live owner.
-BOOST_AUTO_TEST_CASE(restartedReplicaWaits)
+// (d) Guards against a takeover from a live owner by a replica that lost its promises in a restart.
+BOOST_AUTO_TEST_CASE(restartedReplicaDelaysTakeover)
 {
     DaemonCluster cluster({"a", "b"});
     SimulatedDaemon &owner = cluster.settle();
@@ -123,13 +124,13 @@
     cluster.network.setCut(owner.identity.daemon, replica, true);
     cluster.start(replica);
     cluster.run(1s);
-    BOOST_TEST(owner.holds());
+    BOOST_TEST(owner.holdsLease());
     cluster.run(Constants::RESTARTED_REPLICA_WAIT_MS - 1s);
     BOOST_TEST(cluster.row().owner == owner.identity.daemon);
     cluster.run(2s);
-    BOOST_REQUIRE(cluster.holder());
-    BOOST_TEST(cluster.holder()->identity.daemon == replica);
-    BOOST_TEST(!cluster.holder()->ownership.hasAllRecords(SHARD));
+    BOOST_REQUIRE(cluster.leaseHolder());
+    BOOST_TEST(cluster.leaseHolder()->identity.daemon == replica);
+    BOOST_TEST(!cluster.leaseHolder()->ownership.hasAllRecords(SHARD));
 }
 
 // (d) Guards against counting the promise of a restarted replica for the run that is listed: a
@@ -142,15 +143,15 @@
     owner.table.down = true;
     cluster.start(replica);
     cluster.run(2s);
-    BOOST_TEST(!owner.holds());
+    BOOST_TEST(!owner.holdsLease());
     owner.table.down = false;
     cluster.run(6s);
-    BOOST_TEST(owner.holds());
+    BOOST_TEST(owner.holdsLease());
     BOOST_TEST(cluster.row().epoch == Epoch(1));
     BOOST_TEST(cluster.row().replicas.size() == 2U);
 }
 
-// (e) Guards against dropping a replica that may still be listed.
+// (e) Guards against not requiring a replica whose removal may not have taken effect.
 BOOST_AUTO_TEST_CASE(removedReplicaIsRequiredUntilConfirmed)
 {
     for (const TableFault fault : LOST_REPLIES) {
@@ -160,18 +161,19 @@
         owner.table.scriptWrites({fault});
         cluster.kill(dead);
         const std::uint64_t writes = cluster.table.writeCount;
-        while (cluster.table.writeCount < writes + 2) { // until the write is repeated
-            BOOST_TEST(owner.requires_(dead));
+        while (cluster.table.writeCount < writes + 2) { // until the write is retried
+            BOOST_TEST(owner.requiresReplica(dead));
             cluster.run(10ms);
         }
         cluster.run(6s);
-        BOOST_TEST(!owner.requires_(dead));
-        BOOST_TEST(owner.holds());
+        BOOST_TEST(!owner.requiresReplica(dead));
+        BOOST_TEST(owner.holdsLease());
         BOOST_TEST(cluster.row().epoch == Epoch(1));
     }
 }
 
-// (f) Guards against an added replica that could take over without its promise being required.
+// (f) Guards against a replica that could take over although the lease does not require its
+// promise.
 BOOST_AUTO_TEST_CASE(addedReplicaIsRequiredBeforeTheWrite)
 {
     for (const TableFault fault : LOST_REPLIES) {
@@ -179,71 +181,71 @@
         cluster.autoJoin = false;
         cluster.startAll();
         cluster.run(3s);
-        BOOST_REQUIRE(cluster.holder());
-        SimulatedDaemon &owner = *cluster.holder();
+        BOOST_REQUIRE(cluster.leaseHolder());
+        SimulatedDaemon &owner = *cluster.leaseHolder();
         SimulatedDaemon &joining = cluster.other(owner);
         owner.table.scriptWrites({fault});
         absl::Status status = absl::UnknownError("no reply");
         owner.ownership.addReplica(SHARD, joining.identity.daemon, joining.identity.incarnation,
                                    [&](const absl::Status &it) { status = it; });
         while (!status.ok()) {
-            BOOST_TEST(owner.requires_(joining.identity.daemon));
-            BOOST_TEST(owner.holds());
+            BOOST_TEST(owner.requiresReplica(joining.identity.daemon));
+            BOOST_TEST(owner.holdsLease());
             cluster.run(10ms);
         }
         BOOST_TEST(cluster.row().replicas.size() == 2U);
         cluster.run(2s);
-        BOOST_TEST(owner.holds());
+        BOOST_TEST(owner.holdsLease());
 
         // The lease depends on the added replica, also while the owner can't see the table.
         owner.table.down = true;
         cluster.network.setCut(DaemonId("a"), DaemonId("b"), true);
         cluster.run(3s);
-        BOOST_TEST(!owner.holds());
-        BOOST_TEST(joining.holds());
+        BOOST_TEST(!owner.holdsLease());
+        BOOST_TEST(joining.holdsLease());
     }
 }
 
 // (f) Guards against a lease that ignores a replica whose addition has an unknown result.
-BOOST_AUTO_TEST_CASE(unresolvedAdditionBindsTheLease)
+BOOST_AUTO_TEST_CASE(leaseDependsOnUnresolvedAddition)
 {
     DaemonCluster cluster({"a", "b"});
     cluster.autoJoin = false;
     cluster.startAll();
     cluster.run(3s);
-    BOOST_REQUIRE(cluster.holder());
-    SimulatedDaemon &owner = *cluster.holder();
+    BOOST_REQUIRE(cluster.leaseHolder());
+    SimulatedDaemon &owner = *cluster.leaseHolder();
     SimulatedDaemon &joining = cluster.other(owner);
     owner.table.scriptWrites({TableFault::LostAfter});
     owner.ownership.addReplica(SHARD, joining.identity.daemon, joining.identity.incarnation,
-                               IGNORE);
+                               IGNORE_STATUS);
     while (cluster.row().replicas.size() < 2)
         cluster.run(10ms);
     owner.table.down = true;
     cluster.network.setCut(DaemonId("a"), DaemonId("b"), true);
     cluster.run(6s);
-    BOOST_TEST(joining.holds());
-    BOOST_TEST(!owner.holds());
+    BOOST_TEST(joining.holdsLease());
+    BOOST_TEST(!owner.holdsLease());
 }
 
-// (g) Guards against a lease that needs the platform.
-BOOST_AUTO_TEST_CASE(leaseOutlivesThePlatform)
+// (g) Guards against a lease whose renewal needs the platform.
+BOOST_AUTO_TEST_CASE(leaseIsKeptDuringPlatformOutage)
 {
     DaemonCluster cluster({"a", "b", "c"});
     SimulatedDaemon &owner = cluster.settle();
     cluster.table.down = true;
     for (int i = 0; i < 60; ++i) {
         cluster.run(1s);
-        BOOST_TEST(owner.holds());
+        BOOST_TEST(owner.holdsLease());
     }
     const DaemonId dead = cluster.other(owner).identity.daemon;
     cluster.kill(dead);
     cluster.run(2s);
-    BOOST_TEST(!cluster.holder());
-    BOOST_TEST(owner.requires_(dead));
+    BOOST_TEST(!cluster.leaseHolder());
+    BOOST_TEST(owner.requiresReplica(dead));
     cluster.table.down = false;
     cluster.run(5s);
-    BOOST_TEST(owner.holds());
+    BOOST_TEST(owner.holdsLease());
     BOOST_TEST(cluster.row().epoch == Epoch(1));
 }
 
@@ -259,8 +261,8 @@
     BOOST_TEST(cluster.table.readCount <= reads + 3U); // one regular read by each daemon
 }
 
-// Guards against a lease that comes back after a lapse although the replica has taken over.
-BOOST_AUTO_TEST_CASE(lapsedLeaseNeedsTheRow)
+// Guards against a lease that returns after a lapse although the replica has taken over.
+BOOST_AUTO_TEST_CASE(lapsedLeaseDoesNotReturnAfterTakeover)
 {
     DaemonCluster cluster({"a", "b"});
     SimulatedDaemon &owner = cluster.settle();
@@ -268,42 +270,42 @@
     owner.table.down = true;
     cluster.network.setCut(DaemonId("a"), DaemonId("b"), true);
     cluster.run(3s);
-    BOOST_TEST(replica.holds());
-    replica.heartbeats = false; // so that the old owner learns of the new one by the row only
+    BOOST_TEST(replica.holdsLease());
+    replica.heartbeats = false; // the old owner can learn of the new one from the row only
     cluster.network.restoreAll();
     for (int i = 0; i < 20; ++i) {
         cluster.run(100ms);
-        BOOST_TEST(!owner.holds());
+        BOOST_TEST(!owner.holdsLease());
     }
     owner.table.down = false;
     cluster.run(5s);
-    BOOST_TEST(replica.holds());
+    BOOST_TEST(replica.holdsLease());
 }
 
-// Guards against losing a shard of a domain that is cut off for as long as the platform is away,
-// because of one pause.
-BOOST_AUTO_TEST_CASE(lapsedLeaseReturnsWithoutThePlatform)
+// Guards against losing a shard for the whole platform outage because of one pause of its owner,
+// in a domain that is cut off from the platform.
+BOOST_AUTO_TEST_CASE(lapsedLeaseReturnsDuringPlatformOutage)
 {
     DaemonCluster cluster({"a", "b", "c"});
     SimulatedDaemon &owner = cluster.settle();
     cluster.table.down = true;
     cluster.network.setCut(owner.identity.daemon, cluster.other(owner).identity.daemon, true);
     cluster.run(3s);
-    BOOST_TEST(!cluster.holder());
+    BOOST_TEST(!cluster.leaseHolder());
     cluster.network.restoreAll();
     cluster.run(1s);
-    BOOST_TEST(owner.holds());
+    BOOST_TEST(owner.holdsLease());
     owner.timers.pause();
     cluster.run(4s);
-    BOOST_TEST(!cluster.holder());
+    BOOST_TEST(!cluster.leaseHolder());
     owner.timers.resume();
     cluster.run(1s);
-    BOOST_TEST(owner.holds());
+    BOOST_TEST(owner.holdsLease());
     BOOST_TEST(cluster.row().epoch == Epoch(1));
 }
 
-// (h) Guards against two winners when all candidates write before any sees the other's write.
-BOOST_AUTO_TEST_CASE(oneCandidateWins)
+// (h) Guards against two owners when all candidates write before any sees the other's write.
+BOOST_AUTO_TEST_CASE(onlyOneCandidateTakesOver)
 {
     DaemonCluster cluster({"a", "b", "c"});
     SimulatedDaemon &owner = cluster.settle();
@@ -313,11 +315,11 @@
     cluster.run(4s);
     BOOST_TEST(cluster.table.writeCount >= writes + 2);
     cluster.run(4s);
-    BOOST_TEST(cluster.holder());
+    BOOST_TEST(cluster.leaseHolder());
     BOOST_TEST(cluster.row().epoch == Epoch(2));
 }
 
-// (i) Guards against an owner that serves on while its hand-over may have taken effect.
+// (i) Guards against an owner that continues to serve while its hand-over may have taken effect.
 BOOST_AUTO_TEST_CASE(handOverWithLostReply)
 {
     for (const TableFault fault : LOST_REPLIES) {
@@ -331,21 +333,21 @@
             BOOST_TEST(status.ok());
             done = true;
         });
-        BOOST_TEST(!owner.holds());
+        BOOST_TEST(!owner.holdsLease());
         while (!done) {
-            BOOST_TEST(!owner.holds());
+            BOOST_TEST(!owner.holdsLease());
             cluster.run(10ms);
         }
         cluster.run(1s);
-        BOOST_TEST(next.holds());
+        BOOST_TEST(next.holdsLease());
         BOOST_TEST(next.ownership.hasAllRecords(SHARD));
         BOOST_TEST(cluster.row().epoch == Epoch(2));
         BOOST_TEST(cluster.row().replicas.size() == 3U);
     }
 }
 
-// Guards against a shard that stays down because its hand-over certainly failed.
-BOOST_AUTO_TEST_CASE(failedHandOverKeepsTheShard)
+// Guards against a shard that is not served any more after its hand-over certainly failed.
+BOOST_AUTO_TEST_CASE(failedHandOverRestoresLease)
 {
     DaemonCluster cluster({"a", "b"});
     SimulatedDaemon &owner = cluster.settle();
@@ -355,10 +357,10 @@
                              [&](const absl::Status &it) { code = Base::failureCode(it); });
     cluster.run(100ms);
     BOOST_TEST((code == Base::FailureCode::PlatformUnavailable));
-    BOOST_TEST(owner.holds());
+    BOOST_TEST(owner.holdsLease());
 }
 
-// (j) Guards against claiming knowledge of records that all replicas have lost.
+// (j) Guards against claiming to have all records after all replicas have lost them.
 BOOST_AUTO_TEST_CASE(allReplicasRestarted)
 {
     DaemonCluster cluster({"a", "b", "c"});
@@ -367,14 +369,14 @@
     cluster.daemons.clear();
     cluster.startAll();
     cluster.run(Constants::RESTARTED_REPLICA_WAIT_MS);
-    BOOST_TEST(!cluster.holder());
+    BOOST_TEST(!cluster.leaseHolder());
     cluster.run(2s);
-    BOOST_REQUIRE(cluster.holder());
-    BOOST_TEST(!cluster.holder()->ownership.hasAllRecords(SHARD));
+    BOOST_REQUIRE(cluster.leaseHolder());
+    BOOST_TEST(!cluster.leaseHolder()->ownership.hasAllRecords(SHARD));
 }
 
-// (k) Guards the operator's way out when all listed replicas are gone, and against using it by
-// mistake.
+// (k) Guards against an operator who can't recover a shard whose listed replicas are all down, and
+// against recovery by mistake while the owner is alive.
 BOOST_AUTO_TEST_CASE(operatorRecoversShard)
 {
     DaemonCluster cluster({"a", "b"});
@@ -385,36 +387,36 @@
     other.ownership.recoverShard(SHARD, store);
     cluster.run(1s);
     BOOST_TEST((code == Base::FailureCode::BadRequest));
-    BOOST_TEST(owner.holds());
+    BOOST_TEST(owner.holdsLease());
 
     cluster.daemons.clear();
     DaemonCluster lost({"a", "b", "c"});
     lost.autoJoin = false;
     lost.startAll();
     lost.run(3s);
-    BOOST_REQUIRE(lost.holder());
-    lost.kill(lost.holder()->identity.daemon);
+    BOOST_REQUIRE(lost.leaseHolder());
+    lost.kill(lost.leaseHolder()->identity.daemon);
     lost.run(1s);
     SimulatedDaemon &spare = *lost.daemons.begin()->second;
     spare.ownership.recoverShard(SHARD, store);
     lost.run(1s);
     BOOST_TEST((code == Base::FailureCode::None));
-    BOOST_TEST(spare.holds());
+    BOOST_TEST(spare.holdsLease());
     BOOST_TEST(!spare.ownership.hasAllRecords(SHARD));
     BOOST_TEST(lost.row().epoch == Epoch(2));
 }
 
-// Guards against an owner that serves on although a replica knows a later epoch.
+// Guards against an owner that continues to serve although a replica knows a later epoch.
 BOOST_AUTO_TEST_CASE(refusedOwnerStopsAndRenews)
 {
     DaemonCluster cluster({"a", "b"});
     SimulatedDaemon &owner = cluster.settle();
     owner.ownership.ownershipRefused(SHARD, Epoch(0));
-    BOOST_TEST(owner.holds()); // a delayed refusal of an earlier epoch
+    BOOST_TEST(owner.holdsLease()); // a delayed refusal of an earlier epoch
     owner.ownership.ownershipRefused(SHARD, Epoch(2));
-    BOOST_TEST(!owner.holds());
+    BOOST_TEST(!owner.holdsLease());
     cluster.run(5s);
-    BOOST_TEST(owner.holds());
+    BOOST_TEST(owner.holdsLease());
     BOOST_TEST(cluster.row().epoch == Epoch(2));
     BOOST_TEST(cluster.row().replicas.size() == 2U);
 }
@@ -439,9 +441,9 @@
     DaemonCluster cluster({"a", "b"});
     SimulatedDaemon &owner = cluster.settle();
     owner.ownership.stop();
-    BOOST_TEST(!owner.holds());
+    BOOST_TEST(!owner.holdsLease());
     BOOST_TEST(owner.lostCount == 1);
     cluster.run(3s);
-    BOOST_REQUIRE(cluster.holder());
-    BOOST_TEST(cluster.holder() != &owner);
+    BOOST_REQUIRE(cluster.leaseHolder());
+    BOOST_TEST(cluster.leaseHolder() != &owner);
 }
--- a/tests/auto/ownership/tst_ownershiprandom.cpp
+++ b/tests/auto/ownership/tst_ownershiprandom.cpp
@@ -1,4 +1,4 @@
-// Randomised schedules of faults over three daemons. EP_RANDOM_RUNS sets their number and
+// Random schedules of faults with three daemons. EP_RANDOM_RUNS sets their number and
 // EP_RANDOM_SEED the first seed; a failing schedule is repeated with its seed and one run.
 // The build defines the module for every file, but only tst_ownership.cpp may contain main().
 #undef BOOST_TEST_MODULE
@@ -71,7 +71,7 @@
         const DaemonId peer = drawDaemon();
         const auto found = m_cluster.daemons.find(id);
         SimulatedDaemon *daemon = found == m_cluster.daemons.end() ? nullptr : found->second.get();
-        // Ends a fault of one process unless that process has died meanwhile.
+        // Ends a fault of one process unless that process has ended meanwhile.
         const auto ifSameRun = [this, id, run = m_cluster.lastIncarnation](auto action) {
             return [this, id, run, action] {
                 const auto it = m_cluster.daemons.find(id);
@@ -135,17 +135,17 @@
 
     void handOver(ShardIndex shard)
     {
-        SimulatedDaemon *owner = m_cluster.holder(shard);
+        SimulatedDaemon *owner = m_cluster.leaseHolder(shard);
         if (owner && !owner->timers.isPaused())
             owner->ownership.handOver(shard, drawDaemon(), [](const absl::Status &) {});
     }
 
-    /// Guards against schedules that leave a shard without an owner for good.
+    /// Checks that every shard is served again within 30 s of the end of the faults.
     void recover()
     {
         const auto allServed = [this] {
             for (std::size_t i = 0; i < m_cluster.shards; ++i) {
-                if (!m_cluster.holder(ShardIndex(i)))
+                if (!m_cluster.leaseHolder(ShardIndex(i)))
                     return false;
             }
             return true;
@@ -153,7 +153,7 @@
         for (int i = 0; i < 300 && !allServed() && !m_cluster.violated; ++i)
             m_cluster.run(100ms, 20ms);
         if (!allServed())
-            m_cluster.violation("a shard was not served again after the faults ended");
+            m_cluster.reportViolation("a shard was not served again after the faults ended");
     }
 
     std::mt19937_64 m_random;
@@ -163,7 +163,8 @@
 
 } // namespace
 
-// Guards the invariants of section 3 of the design against combinations of two faults.
+// Guards against combinations of two faults that break an invariant of shard ownership (section 3
+// of the design).
 BOOST_AUTO_TEST_CASE(randomSchedulesKeepInvariants)
 {
     Base::setLogLevel(Base::LogLevel::Error);
