--- a/src/libs/eventlog/event.h
+++ b/src/libs/eventlog/event.h
@@ -1,4 +1,4 @@
-// Events of a daemon: what happened to requests, shards, upstreams and peers, and when.
+// Events that a daemon records about its requests, shards, upstreams and peers.
 #pragma once
 
 #include "hybridclock.h"
@@ -13,7 +13,7 @@
 
 namespace EventLog {
 
-/// The names are part of the operator interface.
+/// The names given by eventTypeName() are part of the operator interface.
 enum class EventType : std::uint8_t {
     Accepted,          ///< A request passed admission.
     Queued,            ///< A task or single request waits for a slot.
@@ -21,13 +21,13 @@
     Finished,          ///< An upstream answered a start, or its result was established.
     Answered,          ///< The caller received the outcome.
     Refused,           ///< The request was answered as not run.
-    Retried,           ///< A start that did not happen is tried on another upstream.
+    Retried,           ///< A start that was not executed is retried on another upstream.
     StopRequested,     ///< A stop was sent to an upstream.
     LeaseGained,       ///< The daemon's lease became valid.
     LeaseLost,         ///< The daemon's lease expired.
     EpochChanged,      ///< A shard's epoch changed.
     Replicated,        ///< All replicas acknowledged a record.
-    Takeover,          ///< Recovery after a takeover began; detail 1: it is finished.
+    Takeover,          ///< Recovery after a takeover began or, if the detail is 1, ended.
     ManifestApplied,   ///< A manifest came into force; the detail is its revision.
     ManifestRefused,   ///< A manifest was refused; the detail is its revision.
     MembershipChanged, ///< A new membership list; the detail is the number of hosts.
@@ -42,7 +42,7 @@
 std::string_view eventTypeName(EventType type);
 std::optional<EventType> eventTypeFromName(std::string_view name);
 
-/// What a service records. It refers to the caller's ids, so that recording copies no string.
+/// An event to be recorded. Refers to the caller's ids, so that recording copies no string.
 struct EventInfo
 {
     EventType type = EventType::Accepted;
@@ -53,10 +53,10 @@
     Base::Epoch epoch = {}; // 0 if it does not apply
     Base::FailureCode failure = Base::FailureCode::None;
     std::int64_t detail = 0;
-    const Base::DaemonId *peer = nullptr; // excludes upstream
+    const Base::DaemonId *peer = nullptr; // ignored if upstream is set
 };
 
-/// A recorded event. Names longer than the ring's inline capacity appear in shortened form.
+/// A recorded event. Ids longer than the ring's inline capacity are shortened; see ShortText.
 struct Event
 {
     EventType type = EventType::Accepted;
@@ -74,13 +74,13 @@
     bool operator==(const Event &) const = default;
 };
 
-/// The events that one daemon answered, or why it did not answer.
+/// One daemon's reply to an event query, or the reason why there is none.
 struct DaemonEvents
 {
     Base::DaemonId daemon;
-    Base::FailureCode failure = Base::FailureCode::None; // None if the daemon answered
-    std::uint64_t overwritten = 0; // events of any kind that the ring lost since the daemon's start
-    std::uint64_t omitted = 0;     // matching events left out because of the query's limit
+    Base::FailureCode failure = Base::FailureCode::None; // None if the daemon replied
+    std::uint64_t overwritten = 0; // events of any type that the ring lost since the daemon's start
+    std::uint64_t omitted = 0;     // matching events beyond the query's limit
     std::uint64_t unreadable = 0;  // events that this program could not decode
     std::vector<Event> events;
 };
--- a/src/libs/eventlog/eventjson.cpp
+++ b/src/libs/eventlog/eventjson.cpp
@@ -41,7 +41,7 @@
     return result;
 }
 
-/// Reads members of an object. Remembers whether any of them had a wrong type or was missing.
+/// Reads members of an object and records whether one of them had a wrong type or was missing.
 class MemberReader
 {
 public:
@@ -102,7 +102,7 @@
 absl::Status eventFromJson(const json &object, Event &event)
 {
     if (!object.is_object())
-        return makeFailure(FailureCode::BadRequest, "event is not an object");
+        return makeFailure(FailureCode::BadRequest, "event is not a JSON object");
     MemberReader reader(object);
     const std::optional<EventType> type = eventTypeFromName(reader.text("type", true));
     if (!type)
@@ -128,7 +128,8 @@
         result.failure = Base::failureFromName(reader.text("failure", true));
     result.detail = reader.signedNumber("detail");
     if (!reader.isOk() || counter > std::numeric_limits<std::uint32_t>::max())
-        return makeFailure(FailureCode::BadRequest, "event has a missing or mistyped member");
+        return makeFailure(FailureCode::BadRequest,
+                           "event has a missing member or one of the wrong type");
     event = std::move(result);
     return absl::OkStatus();
 }
@@ -149,7 +150,7 @@
 {
     const json object = json::parse(text, nullptr, false);
     if (!object.is_object())
-        return makeFailure(FailureCode::BadRequest, "answer is not a JSON object");
+        return makeFailure(FailureCode::BadRequest, "reply is not a JSON object");
     MemberReader reader(object);
     DaemonEvents result;
     result.daemon = Base::DaemonId(reader.text("daemon", true));
@@ -157,7 +158,8 @@
     result.omitted = reader.number("omitted", false);
     const auto events = object.find("events");
     if (!reader.isOk() || events == object.end() || !events->is_array())
-        return makeFailure(FailureCode::BadRequest, "answer has a missing or mistyped member");
+        return makeFailure(FailureCode::BadRequest,
+                           "reply has a missing member or one of the wrong type");
     for (const json &it : *events) {
         Event event;
         if (eventFromJson(it, event).ok())
--- a/src/libs/eventlog/eventjson.h
+++ b/src/libs/eventlog/eventjson.h
@@ -7,10 +7,10 @@
 // Events of peers have the member "peer", a daemon id.
 // "failure" is a name of Base::FailureCode; "domain" and "shard" appear together.
 //
-// The answer of one daemon is
+// The reply of one daemon is
 //   {"daemon": "entry-1", "overwritten": 120, "omitted": 0, "events": [...]}
 // "overwritten" counts the events that the daemon's ring lost since its start, "omitted" the
-// matching events left out because of the query's limit (absent means 0).
+// matching events beyond the query's limit (absent means 0).
 #pragma once
 
 #include "event.h"
@@ -27,9 +27,9 @@
 /// Errors: badRequest.
 absl::Status eventFromJson(const nlohmann::json &json, Event &event);
 
-/// The answer of one daemon as text. Bytes that are not UTF-8 become U+FFFD.
+/// The reply of one daemon as JSON text. Bytes that are not UTF-8 become U+FFFD.
 std::string daemonEventsToJson(const DaemonEvents &daemonEvents);
-/// Parses the answer of one daemon. An event that can't be decoded, for example of a type that only
+/// Parses the reply of one daemon. An event that can't be decoded, for example of a type that only
 /// a later version knows, is counted as unreadable. Errors: badRequest.
 absl::Status daemonEventsFromJson(std::string_view text, DaemonEvents &daemonEvents);
 
--- a/src/libs/eventlog/eventlogconstants.h
+++ b/src/libs/eventlog/eventlogconstants.h
@@ -6,16 +6,18 @@
 
 namespace EventLog::Constants {
 
-/// A peer's stamp further ahead than this is a wrong clock, not a delay.
-constexpr std::uint64_t MAX_REMOTE_AHEAD_MS = 60'000;
+/// A peer's stamp that is further ahead of the local wall clock is rejected: it comes from a wrong
+/// clock, not from a delay.
+constexpr std::uint64_t MAX_CLOCK_SKEW_MS = 60'000;
 
-/// Inline capacities of the names in a ring entry. A key with a domain prefix and a UUID fits.
+/// Inline capacities of the key and the names in a ring entry. A key made of a domain prefix and a
+/// UUID fits.
 constexpr std::size_t KEY_CAPACITY_BYTES = 63;
 constexpr std::size_t NAME_CAPACITY_BYTES = 31;
 
-/// Rows for overlapping bars in one lane; further overlap is drawn in the last row.
+/// Rows for overlapping bars in one lane; bars that need more rows are drawn in the last one.
 constexpr std::size_t MAX_ROWS_PER_LANE = 16;
-/// Browsers become unusable with SVG files of several 10,000 shapes.
+/// Browsers become unusable with SVG files of several tens of thousands of shapes.
 constexpr std::size_t MAX_SVG_SHAPES = 20'000;
 
 } // namespace EventLog::Constants
--- a/src/libs/eventlog/eventring.cpp
+++ b/src/libs/eventlog/eventring.cpp
@@ -1,4 +1,4 @@
-// Ring of fixed-size entries.
+// Ring buffer of fixed-size entries.
 #include "eventring.h"
 
 #include "eventlogconstants.h"
@@ -33,7 +33,7 @@
     Name domain;
 };
 
-/// A filter in the form of the ring's entries.
+/// An EventFilter whose names are shortened as in the entries, so that they compare equal.
 struct EntryFilter
 {
     explicit EntryFilter(const EventFilter &filter)
@@ -85,16 +85,16 @@
 
 struct EventRing::Private
 {
-    const Entry &at(std::size_t age) const // 0 is the oldest entry
+    const Entry &at(std::size_t index) const // 0 is the oldest entry
     {
-        const std::size_t i = next + age;
-        return entries[entries.size() < capacity ? age : i < capacity ? i : i - capacity];
+        const std::size_t i = next + index;
+        return entries[entries.size() < capacity ? index : i < capacity ? i : i - capacity];
     }
 
     Base::DaemonId daemon;
     HybridClock &clock;
     std::size_t capacity;
-    std::vector<Entry> entries; // grows up to capacity, within reserved memory
+    std::vector<Entry> entries; // grows up to capacity; the memory is reserved
     std::size_t next = 0;       // index of the oldest entry once the ring is full
     std::uint64_t overwritten = 0;
 };
@@ -157,8 +157,8 @@
     DaemonEvents result;
     result.daemon = m_d->daemon;
     result.overwritten = m_d->overwritten;
-    for (std::size_t age = size(); age-- > 0;) {
-        const Entry &entry = m_d->at(age);
+    for (std::size_t index = size(); index-- > 0;) {
+        const Entry &entry = m_d->at(index);
         if (!entryFilter.matches(entry))
             continue;
         if (filter.limit && result.events.size() >= *filter.limit)
--- a/src/libs/eventlog/hybridclock.cpp
+++ b/src/libs/eventlog/hybridclock.cpp
@@ -34,7 +34,7 @@
     if (wallMs > m_last.wallMs)
         m_last = {wallMs, 0};
     else if (m_last.counter == std::numeric_limits<std::uint32_t>::max())
-        m_last = {m_last.wallMs + 1, 0}; // a peer may send the highest counter
+        m_last = {m_last.wallMs + 1, 0}; // reachable, because a peer may send the highest counter
     else
         ++m_last.counter;
     return m_last;
@@ -48,7 +48,7 @@
 Stamp HybridClock::merge(const Stamp &remote)
 {
     const std::uint64_t now = wallMs();
-    if (remote.wallMs > now && remote.wallMs - now > Constants::MAX_REMOTE_AHEAD_MS)
+    if (remote.wallMs > now && remote.wallMs - now > Constants::MAX_CLOCK_SKEW_MS)
         ++m_rejectedStamps;
     else
         m_last = std::max(m_last, remote);
--- a/src/libs/eventlog/hybridclock.h
+++ b/src/libs/eventlog/hybridclock.h
@@ -36,11 +36,11 @@
     /// Stamp of a local event, or of a message that is about to be sent.
     Stamp tick();
     /// Stamp of the receipt of a message that carried \a remote; greater than \a remote, unless
-    /// that is more than Constants::MAX_REMOTE_AHEAD_MS ahead of the local wall clock. Such a stamp
-    /// is only counted.
+    /// that is more than Constants::MAX_CLOCK_SKEW_MS ahead of the local wall clock. Such a stamp
+    /// is rejected and counted.
     Stamp merge(const Stamp &remote);
 
-    /// Number of remote stamps that were not adopted.
+    /// Number of remote stamps that merge() rejected.
     std::uint64_t rejectedStamps() const { return m_rejectedStamps; }
 
 private:
--- a/src/libs/eventlog/shorttext.h
+++ b/src/libs/eventlog/shorttext.h
@@ -1,4 +1,4 @@
-// Bounded text stored inline.
+// Text stored inline with a fixed capacity.
 #pragma once
 
 #include <base/hash.h>
@@ -13,8 +13,7 @@
 namespace EventLog::Internal {
 
 /// Holds up to \a Capacity bytes. A longer text is stored as its first bytes, '~' and the 16
-/// hexadecimal digits of its stable hash, so that it still compares equal to itself on every
-/// daemon.
+/// hexadecimal digits of its stable hash, so that equal texts compare equal on every daemon.
 template<std::size_t Capacity>
 class ShortText
 {
@@ -32,7 +31,7 @@
             m_size = static_cast<std::uint8_t>(text.size());
             return;
         }
-        // Cuts between characters; bytes that are not UTF-8 are kept as they are.
+        // Truncates between characters; bytes that are not UTF-8 are copied unchanged.
         std::size_t n = 0;
         while (true) {
             const std::size_t step =
--- a/src/libs/eventlog/textescape.cpp
+++ b/src/libs/eventlog/textescape.cpp
@@ -5,8 +5,9 @@
 
 namespace EventLog::Internal {
 
-/// Whether the well-formed sequence \a text is a control character (C0, DEL, C1), a character that
-/// changes the direction of the text, or one that XML 1.0 does not allow.
+/// Whether the well-formed UTF-8 sequence \a text must be escaped: a control character (C0, DEL,
+/// C1), a backslash, a line separator, a character that changes the direction of the text, or one
+/// that XML 1.0 does not allow.
 static bool isUnsafe(std::string_view text)
 {
     const auto byteAt = [text](std::size_t i) { return static_cast<unsigned char>(text[i]); };
--- a/src/libs/eventlog/timeline.cpp
+++ b/src/libs/eventlog/timeline.cpp
@@ -1,4 +1,4 @@
-// Merging and text form of the time line.
+// Merging of events and text form of the time line.
 #include "timeline.h"
 
 #include "textescape.h"
@@ -15,8 +15,8 @@
 
 using Base::FailureCode;
 
-Timeline::Timeline(std::vector<DaemonEvents> answers)
-    : m_daemons(std::move(answers))
+Timeline::Timeline(std::vector<DaemonEvents> replies)
+    : m_daemons(std::move(replies))
 {
     for (DaemonEvents &it : m_daemons) {
         std::move(it.events.begin(), it.events.end(), std::back_inserter(m_events));
@@ -98,7 +98,7 @@
     constexpr std::uint64_t MS_PER_S = 1000;
     const auto seconds = static_cast<std::time_t>(wallMs / MS_PER_S);
     std::tm tm{};
-    // A stamp from a faulty peer may lie beyond the years that the calendar can express.
+    // The stamp of a faulty daemon may lie beyond the years that std::tm can represent.
     if (!gmtime_r(&seconds, &tm))
         return fmt::format("{}ms", wallMs);
     return fmt::format("{:04}-{:02}-{:02}T{:02}:{:02}:{:02}.{:03}Z", tm.tm_year + 1900LL,
--- a/src/libs/eventlog/timelinereport.cpp
+++ b/src/libs/eventlog/timelinereport.cpp
@@ -1,4 +1,4 @@
-// Renders the time line from the answers of daemons.
+// Renders the time line from the replies of daemons.
 #include "timelinereport.h"
 
 #include "eventjson.h"
@@ -33,18 +33,18 @@
     const absl::Status status = daemonEventsFromJson(reply.body, result);
     if (status.ok())
         return result;
-    const FailureCode answered = failureInBody(reply.body);
-    result.failure = answered != FailureCode::None ? answered : Base::failureCode(status);
+    const FailureCode reported = failureInBody(reply.body);
+    result.failure = reported != FailureCode::None ? reported : Base::failureCode(status);
     return result;
 }
 
 TimelineReport renderTimeline(const std::vector<DaemonReply> &replies, TimelineFormat format)
 {
-    std::vector<DaemonEvents> answers;
-    answers.reserve(replies.size());
+    std::vector<DaemonEvents> parsedReplies;
+    parsedReplies.reserve(replies.size());
     for (const DaemonReply &it : replies)
-        answers.push_back(parseReply(it));
-    const Timeline timeline(std::move(answers));
+        parsedReplies.push_back(parseReply(it));
+    const Timeline timeline(std::move(parsedReplies));
     return {format == TimelineFormat::Svg ? timeline.toSvg() : timeline.toText(),
             timeline.isComplete()};
 }
--- a/src/libs/eventlog/timelinereport.h
+++ b/src/libs/eventlog/timelinereport.h
@@ -1,5 +1,5 @@
-// Renders the time line from the answers of daemons, for the command line. The form of an answer is
-// documented in eventjson.h. Instead of it, a daemon may answer an error object with the member
+// Renders the time line from the replies of daemons, for the command line. The form of a reply is
+// documented in eventjson.h. A daemon may instead reply with an error object with the member
 // "failure", a name of Base::FailureCode:
 //   {"failure": "unauthorized"}
 #pragma once
@@ -15,22 +15,22 @@
 
 enum class TimelineFormat { Text, Svg };
 
-/// What came back from one daemon.
+/// The unparsed reply of one daemon to an event query.
 struct DaemonReply
 {
-    Base::DaemonId daemon; // as it was asked
-    absl::Status status;   // not OK if there was no answer
+    Base::DaemonId daemon; // the daemon that was queried
+    absl::Status status;   // not OK if there was no reply
     std::string body;      // JSON
 };
 
 struct TimelineReport
 {
     std::string output;
-    bool complete = true; // every daemon answered and no event is missing
+    bool complete = true; // every daemon replied and no event is missing
 };
 
-/// Merges \a replies and renders them. A daemon whose reply is an error or can't be parsed is
-/// listed as one without an answer, so that this function always renders what is there.
+/// Merges and renders \a replies. A daemon whose reply is an error or can't be parsed is listed as
+/// one that did not reply, so that the events of the others are still rendered.
 TimelineReport renderTimeline(const std::vector<DaemonReply> &replies, TimelineFormat format);
 
 } // namespace EventLog
--- a/src/libs/eventlog/timelinesvg.cpp
+++ b/src/libs/eventlog/timelinesvg.cpp
@@ -27,7 +27,7 @@
 struct Bar
 {
     const Event *start = nullptr;
-    const Event *finish = nullptr; // null if no end is known
+    const Event *finish = nullptr; // null if no end was recorded
     std::size_t row = 0;
 };
 
@@ -39,11 +39,11 @@
     std::size_t rows = 1;
 };
 
-/// Daemons come first, then upstreams, each in the order of their names.
+/// Whether the lane is of an upstream, and its name: daemons come first, each sorted by name.
 using LaneKey = std::pair<bool, std::string>;
 using Lanes = std::map<LaneKey, Lane>;
 
-static Lane &laneOf(Lanes &lanes, bool isUpstream, const std::string &name)
+static Lane &laneFor(Lanes &lanes, bool isUpstream, const std::string &name)
 {
     Lane &lane = lanes[{isUpstream, name}];
     if (lane.label.empty())
@@ -51,7 +51,8 @@
     return lane;
 }
 
-/// Puts each bar into the first row that is free at its start, within the bound on rows.
+/// Assigns each bar the first row that is free at its start, or the last row if the limit on rows
+/// is reached.
 static void assignRows(Lane &lane, std::uint64_t endMs)
 {
     std::vector<std::uint64_t> freeFromMs;
@@ -75,12 +76,12 @@
 {
     Lanes lanes;
     for (const DaemonEvents &it : timeline.daemons())
-        laneOf(lanes, false, it.daemon.value());
+        laneFor(lanes, false, it.daemon.value());
     using RunKey = std::tuple<Base::RequestId, std::optional<Base::TaskIndex>, Base::UpstreamId>;
     std::map<RunKey, std::vector<Bar>> runs;
     for (const Event &it : timeline.events()) {
         if (it.upstream) {
-            laneOf(lanes, true, it.upstream->value());
+            laneFor(lanes, true, it.upstream->value());
             std::vector<Bar> &bars = runs[{it.request, it.task, *it.upstream}];
             if (it.type == EventType::Started) {
                 bars.push_back({&it});
@@ -92,12 +93,12 @@
                 continue;
             }
         }
-        laneOf(lanes, false, it.daemon.value()).marks.push_back(&it);
+        laneFor(lanes, false, it.daemon.value()).marks.push_back(&it);
     }
     for (const auto &[key, bars] : runs) {
         for (const Bar &bar : bars) {
-            laneOf(lanes, true, std::get<Base::UpstreamId>(key).value()).bars.push_back(bar);
-            laneOf(lanes, false, bar.start->daemon.value()).bars.push_back(bar);
+            laneFor(lanes, true, std::get<Base::UpstreamId>(key).value()).bars.push_back(bar);
+            laneFor(lanes, false, bar.start->daemon.value()).bars.push_back(bar);
         }
     }
     const std::uint64_t endMs =
@@ -111,7 +112,7 @@
     return lanes;
 }
 
-/// Appends shapes to a document up to the bound on shapes.
+/// Appends shapes to a document up to the limit on shapes.
 class SvgWriter
 {
 public:
@@ -155,8 +156,8 @@
         const char *style = !bar.finish                                      ? "open"
                             : bar.finish->failure != Base::FailureCode::None ? "failed"
                                                                              : "done";
-        std::string title = titleOf(*bar.start);
-        title += bar.finish ? "\n" + titleOf(*bar.finish) : "\nno end recorded";
+        std::string title = tooltip(*bar.start);
+        title += bar.finish ? "\n" + tooltip(*bar.finish) : "\nno end recorded";
         m_body +=
             fmt::format("<rect class=\"{}\" x=\"{:.1f}\" y=\"{:.1f}\" width=\"{:.1f}\" "
                         "height=\"{:.1f}\"><title>{}</title></rect>\n",
@@ -171,10 +172,10 @@
         m_body += fmt::format("<circle class=\"{}\" cx=\"{:.1f}\" cy=\"{:.1f}\" r=\"3\">"
                               "<title>{}</title></circle>\n",
                               isFailure ? "failed" : "mark", x(event.stamp.wallMs),
-                              top + ROW_HEIGHT / 2, titleOf(event));
+                              top + ROW_HEIGHT / 2, tooltip(event));
     }
 
-    std::size_t leftOut() const { return m_leftOut; }
+    std::size_t omittedShapes() const { return m_omittedShapes; }
 
     std::string document(double height) const
     {
@@ -191,14 +192,14 @@
     bool reserveShape()
     {
         if (m_shapes >= Constants::MAX_SVG_SHAPES) {
-            ++m_leftOut;
+            ++m_omittedShapes;
             return false;
         }
         ++m_shapes;
         return true;
     }
 
-    static std::string titleOf(const Event &event)
+    static std::string tooltip(const Event &event)
     {
         return fmt::format("{}+{} {} {}", Internal::wallTimeText(event.stamp.wallMs),
                            event.stamp.counter, Internal::escapeXml(event.daemon.value()),
@@ -208,7 +209,7 @@
     std::uint64_t m_beginMs;
     std::uint64_t m_spanMs;
     std::size_t m_shapes = 0;
-    std::size_t m_leftOut = 0;
+    std::size_t m_omittedShapes = 0;
     std::string m_body;
 };
 
@@ -243,9 +244,9 @@
             writer.addMark(*event, y);
         y += static_cast<double>(lane.rows) * ROW_HEIGHT + LANE_GAP;
     }
-    if (writer.leftOut() > 0) {
+    if (writer.omittedShapes() > 0) {
         y += LINE_HEIGHT;
-        writer.addText(MARGIN, y, fmt::format("{} shapes left out", writer.leftOut()));
+        writer.addText(MARGIN, y, fmt::format("{} shapes left out", writer.omittedShapes()));
     }
     return writer.document(y + 2 * MARGIN);
 }
--- a/tests/auto/eventlog/tst_eventlog.cpp
+++ b/tests/auto/eventlog/tst_eventlog.cpp
@@ -38,11 +38,12 @@
 }
 
 // Guards against a time line that contradicts the messages between daemons: stamps that repeat or
-// go back with the wall clock, receipts before their sending, and peers that drag the clock away.
-BOOST_FIXTURE_TEST_CASE(clockNeverGoesBack, Fixture)
+// go back with the wall clock, receipts stamped before their sending, and peers with a wrong clock
+// that move the local one.
+BOOST_FIXTURE_TEST_CASE(clockIsMonotonic, Fixture)
 {
     constexpr std::uint32_t MAX_COUNTER = std::numeric_limits<std::uint32_t>::max();
-    constexpr std::uint64_t BOUND = Constants::MAX_REMOTE_AHEAD_MS;
+    constexpr std::uint64_t BOUND = Constants::MAX_CLOCK_SKEW_MS;
     struct Row
     {
         std::int64_t wallMs;
@@ -72,7 +73,7 @@
     }
 }
 
-// Guards against a ring that loses the wrong events, miscounts them, or filters wrongly.
+// Guards against a ring that overwrites the wrong events, miscounts them, or filters wrongly.
 BOOST_FIXTURE_TEST_CASE(ringKeepsTheNewestEvents, Fixture)
 {
     EventRing ring(Base::DaemonId("d1"), clock, 4);
@@ -116,8 +117,8 @@
     BOOST_TEST(!ring.query({}).events.back().shard.has_value());
 }
 
-// Guards against long keys that overrun the entry, are confused with each other, or are cut within
-// a character.
+// Guards against long keys that overflow the entry, compare equal to each other, or are truncated
+// within a character.
 BOOST_FIXTURE_TEST_CASE(longKeysAreShortened, Fixture)
 {
     EventRing ring(Base::DaemonId("d1"), clock, 1000);
@@ -126,10 +127,10 @@
         while (key.size() < n)
             key += "\u00e9";
         const Base::RequestId longRequest{request.team, Base::RequestKey(key + "a")};
-        const Base::RequestId twin{request.team, Base::RequestKey(key + "b")};
+        const Base::RequestId similarRequest{request.team, Base::RequestKey(key + "b")};
         const EventInfo record{EventType::Accepted, &longRequest};
         ring.record(record);
-        BOOST_TEST(ring.query({.request = twin}).events.empty());
+        BOOST_TEST(ring.query({.request = similarRequest}).events.empty());
         const DaemonEvents found = ring.query({.request = longRequest, .limit = 1});
         BOOST_REQUIRE(found.events.size() == 1);
         const std::string &kept = found.events.front().request.key.value();
@@ -142,8 +143,8 @@
     }
 }
 
-// Guards against peers that are lost on the way to the operator or shown as upstreams, also in an
-// entry that is used again.
+// Guards against peers that are missing from the operator's output or shown as upstreams, also in a
+// reused entry.
 BOOST_FIXTURE_TEST_CASE(peersAreNotUpstreams, Fixture)
 {
     EventRing ring(Base::DaemonId("d1"), clock, 1);
@@ -165,7 +166,7 @@
     BOOST_CHECK(ring.query({}).events.at(0).upstream == upstream);
 }
 
-// Guards against members that are lost on the way to the command line, and hostile answers.
+// Guards against members that are lost in the JSON form, and against malformed replies.
 BOOST_FIXTURE_TEST_CASE(jsonRoundTrip, Fixture)
 {
     EventRing ring(Base::DaemonId("d1"), clock, 100);
@@ -211,13 +212,14 @@
     }
 }
 
-// Guards against a time line in the wrong order, hidden gaps and events shown twice.
+// Guards against a time line in the wrong order, missing events that are not reported, and
+// duplicate events.
 BOOST_FIXTURE_TEST_CASE(timelineMergesDaemons, Fixture)
 {
     HybridClock otherClock([this] { return wallMs - 500; });
     EventRing ring(Base::DaemonId("d1"), clock, 8);
     EventRing otherRing(Base::DaemonId("d2"), otherClock, 2);
-    // d2's wall clock is behind, but it acts on messages of d1.
+    // d2's wall clock is behind, but its events follow messages from d1.
     otherClock.merge(ring.record(info(EventType::Accepted)));
     otherRing.record(info(EventType::Replicated));
     otherClock.merge(ring.record(info(EventType::Started)));
@@ -259,8 +261,8 @@
     BOOST_TEST(count(svg, "d3: no answer (timeout)") == 1);
 }
 
-// Guards against keys of callers that control the operator's terminal or browser, and against
-// drawings too large to open.
+// Guards against callers' keys that control the operator's terminal or browser, and against SVG
+// documents too large to open.
 BOOST_AUTO_TEST_CASE(outputIsEscapedAndBounded)
 {
     DaemonEvents hostile;
