--- a/src/libs/metrics/exposition.cpp
+++ b/src/libs/metrics/exposition.cpp
@@ -23,8 +23,8 @@
                           [&](char c) { return isLetter(c) || (c >= '0' && c <= '9'); });
 }
 
-/// Escapes backslash and line feed, and for label values also the quote. Bytes that are not UTF-8,
-/// which the format does not allow, become U+FFFD.
+/// Escapes backslash and line feed, and in label values also the double quote. Bytes that are not
+/// UTF-8, which the format does not allow, become U+FFFD.
 static void appendEscaped(std::string &out, std::string_view text, bool isLabelValue)
 {
     while (!text.empty()) {
@@ -84,7 +84,7 @@
     return fmt::format("{}", value);
 }
 
-std::string boundedLabelValue(const std::string &value)
+std::string truncatedLabelValue(const std::string &value)
 {
     if (value.size() <= Constants::MAX_LABEL_VALUE_BYTES)
         return value;
--- a/src/libs/metrics/latencyhistogram.cpp
+++ b/src/libs/metrics/latencyhistogram.cpp
@@ -1,4 +1,4 @@
-// Histogram of durations on Boost.Histogram.
+// Histogram of durations, based on Boost.Histogram.
 #include "latencyhistogram.h"
 
 #include "metricsconstants.h"
@@ -34,8 +34,8 @@
 
 void LatencyHistogram::observe(Base::Duration duration)
 {
-    const double seconds =
-        std::max(std::chrono::duration<double>(duration).count(), 0.0); // log needs x >= 0
+    // The logarithmic axis needs x >= 0.
+    const double seconds = std::max(std::chrono::duration<double>(duration).count(), 0.0);
     m_d->histogram(seconds);
     ++m_count;
     m_sumS += seconds;
--- a/src/libs/metrics/latencyhistogram.h
+++ b/src/libs/metrics/latencyhistogram.h
@@ -24,14 +24,14 @@
     LatencyHistogram(LatencyHistogram &&other) noexcept;
     ~LatencyHistogram();
 
-    /// Counts \a duration. Durations outside of the range count as below or above it.
+    /// Counts \a duration; in the underflow or overflow bin if it is outside of the range.
     void observe(Base::Duration duration);
     void add(const LatencyHistogram &other);
 
     std::uint64_t count() const { return m_count; }
     double sumS() const { return m_sumS; } // seconds
-    /// Estimate of the \a q quantile, 0 to 1, interpolated within its bin; the end of the range for
-    /// observations outside of it. Empty if nothing was observed.
+    /// Estimate of the \a q quantile, 0 to 1, interpolated within its bin; the nearer end of the
+    /// range if the quantile is outside of it. Empty if nothing was observed.
     std::optional<Base::Duration> quantile(double q) const;
     /// The buckets with a finite bound, in increasing order.
     std::vector<Bucket> buckets() const;
--- a/src/libs/metrics/metricsconstants.h
+++ b/src/libs/metrics/metricsconstants.h
@@ -5,10 +5,10 @@
 
 namespace Metrics::Constants {
 
-/// Label combinations per metric beyond which values are counted under "other". At size, 220 teams
-/// times a few outcomes fit.
+/// Label combinations per metric; values of further ones are counted under "other". At full
+/// deployment size, 220 teams times a few outcomes fit.
 constexpr std::size_t MAX_SERIES_PER_METRIC = 1000;
-/// Longer label values are cut.
+/// Longer label values are truncated.
 constexpr std::size_t MAX_LABEL_VALUE_BYTES = 128;
 
 /// Range of the histograms in seconds: 10 microseconds to 100 seconds.
--- a/src/libs/metrics/metricsregistry.cpp
+++ b/src/libs/metrics/metricsregistry.cpp
@@ -17,7 +17,7 @@
 static constexpr char OTHER[] = "other";
 static constexpr char OVERFLOW_COUNTER[] = "endivepath_metrics_label_overflows";
 
-/// The series of one metric. Nodes of a map keep their address, which handles rely on.
+/// The series of one metric. Handles rely on the stable addresses of the map's nodes.
 template<class Value>
 using Series = std::map<Labels, Value>;
 
@@ -29,14 +29,15 @@
         series;
 };
 
-static Labels boundedLabels(const Labels &labels)
+static Labels truncatedLabels(const Labels &labels)
 {
-    return {Internal::boundedLabelValue(labels.kind), Internal::boundedLabelValue(labels.team),
-            Internal::boundedLabelValue(labels.domain), Internal::boundedLabelValue(labels.reason),
-            Internal::boundedLabelValue(labels.outcome)};
+    return {Internal::truncatedLabelValue(labels.kind), Internal::truncatedLabelValue(labels.team),
+            Internal::truncatedLabelValue(labels.domain),
+            Internal::truncatedLabelValue(labels.reason),
+            Internal::truncatedLabelValue(labels.outcome)};
 }
 
-/// Keeps the labels that are set, so that all series of a metric have the same label names.
+/// Replaces only the labels that are set, so that all series of a metric have the same label names.
 static Labels otherLabels(const Labels &labels)
 {
     const auto other = [](const std::string &value) {
@@ -48,9 +49,10 @@
 
 struct MetricsRegistry::Private
 {
-    /// The series of metric \a name; null if that has another type or is not a valid name.
+    /// The series of metric \a name, added if there is none; null if the metric has another type or
+    /// the name is not valid.
     template<class Value>
-    Series<Value> *seriesOf(std::string_view name, std::string_view help)
+    Series<Value> *findOrAddSeries(std::string_view name, std::string_view help)
     {
         EP_ASSERT(Internal::isMetricName(name), return nullptr);
         const auto [it, isNew] = metrics.try_emplace(std::string(name));
@@ -63,21 +65,23 @@
         return series;
     }
 
-    /// The value for \a labels, or for "other" if there are too many label combinations.
+    /// The value for \a labels, added if there is none; at the limit on label combinations that of
+    /// the series "other".
     template<class Value>
-    Value *valueOf(std::string_view name, std::string_view help, const Labels &labels)
+    Value *findOrAddValue(std::string_view name, std::string_view help, const Labels &labels)
     {
-        Series<Value> *const series = seriesOf<Value>(name, help);
+        Series<Value> *const series = findOrAddSeries<Value>(name, help);
         if (!series)
             return nullptr;
-        const Labels key = boundedLabels(labels);
+        const Labels key = truncatedLabels(labels);
         const auto it = series->find(key);
         if (it != series->end())
             return &it->second;
         if (series->size() < Constants::MAX_SERIES_PER_METRIC)
             return &(*series)[key];
-        ++overflows;
-        return &(*series)[otherLabels(key)]; // at most one more series per set of label names
+        ++labelOverflows;
+        // Exceeds the limit by at most one series per set of label names.
+        return &(*series)[otherLabels(key)];
     }
 
     template<class Value>
@@ -88,7 +92,7 @@
     }
 
     std::map<std::string, Metric, std::less<>> metrics;
-    std::uint64_t overflows = 0;
+    std::uint64_t labelOverflows = 0;
 };
 
 MetricsRegistry::MetricsRegistry()
@@ -99,24 +103,24 @@
 
 Counter MetricsRegistry::counter(std::string_view name, std::string_view help, const Labels &labels)
 {
-    return Counter(m_d->valueOf<std::uint64_t>(name, help, labels));
+    return Counter(m_d->findOrAddValue<std::uint64_t>(name, help, labels));
 }
 
 Histogram MetricsRegistry::histogram(std::string_view name, std::string_view help,
                                      const Labels &labels)
 {
-    return Histogram(m_d->valueOf<LatencyHistogram>(name, help, labels));
+    return Histogram(m_d->findOrAddValue<LatencyHistogram>(name, help, labels));
 }
 
 bool MetricsRegistry::setGauge(std::string_view name, std::string_view help, GaugeCallback callback,
                                const Labels &labels)
 {
-    Series<GaugeCallback> *const series = m_d->seriesOf<GaugeCallback>(name, help);
+    Series<GaugeCallback> *const series = m_d->findOrAddSeries<GaugeCallback>(name, help);
     if (!series)
         return false;
-    const Labels key = boundedLabels(labels);
+    const Labels key = truncatedLabels(labels);
     if (series->size() >= Constants::MAX_SERIES_PER_METRIC && !series->contains(key)) {
-        ++m_d->overflows;
+        ++m_d->labelOverflows;
         return false;
     }
     (*series)[key] = std::move(callback);
@@ -129,7 +133,7 @@
     if (it == m_d->metrics.end())
         return;
     if (auto *const series = std::get_if<Series<GaugeCallback>>(&it->second.series))
-        series->erase(boundedLabels(labels));
+        series->erase(truncatedLabels(labels));
 }
 
 std::optional<Base::Duration> MetricsRegistry::quantile(std::string_view name, double q) const
@@ -154,9 +158,9 @@
     return sum;
 }
 
-std::uint64_t MetricsRegistry::overflowedSeries() const
+std::uint64_t MetricsRegistry::labelOverflows() const
 {
-    return m_d->overflows;
+    return m_d->labelOverflows;
 }
 
 static void appendSeries(std::string &out, const std::string &name, const std::string &help,
@@ -203,7 +207,7 @@
         std::visit([&](const auto &series) { appendSeries(out, it.first, it.second.help, series); },
                    it.second.series);
     appendSeries(out, OVERFLOW_COUNTER, "Requests for a series that were counted under \"other\".",
-                 Series<std::uint64_t>{{Labels{}, m_d->overflows}});
+                 Series<std::uint64_t>{{Labels{}, m_d->labelOverflows}});
     return out;
 }
 
--- a/src/libs/metrics/metricsregistry.h
+++ b/src/libs/metrics/metricsregistry.h
@@ -1,5 +1,5 @@
 // Counters, gauges and histograms of a daemon, for the text exposition and for status output. A
-// service asks for a handle once and then counts without a look-up.
+// service requests a handle once and then updates the metric without a look-up.
 #pragma once
 
 #include "latencyhistogram.h"
@@ -77,10 +77,10 @@
 
 /// Owns the metrics. Lives on one thread.
 ///
-/// Each metric keeps a bounded number of label combinations, because label values can come from
+/// The number of label combinations per metric is limited, because label values can come from
 /// callers. A further combination is counted in the series whose label values are all "other".
 /// A name has one type; a request for another type, or for a name that the exposition format does
-/// not allow, is a broken assumption and yields a handle that ignores values.
+/// not allow, fails a soft assert and yields a handle that ignores values.
 class MetricsRegistry
 {
 public:
@@ -95,19 +95,19 @@
     /// A histogram of durations in seconds; its name should end in "_seconds".
     Histogram histogram(std::string_view name, std::string_view help, const Labels &labels = {});
     /// A gauge that is read from \a callback for each exposition; replaces an earlier callback.
-    /// Returns false if the bound on label combinations is reached; the gauge is then not exposed,
-    /// since a shared series has no meaningful value.
+    /// Returns false if the limit on label combinations is reached; the gauge is then not exposed,
+    /// since a gauge shared by several combinations has no meaningful value.
     bool setGauge(std::string_view name, std::string_view help, GaugeCallback callback,
                   const Labels &labels = {});
-    /// Must be called before what the callback refers to is destroyed.
+    /// Must be called before the objects that the callback refers to are destroyed.
     void removeGauge(std::string_view name, const Labels &labels = {});
 
     /// The \a q quantile over all series of the histogram \a name. Empty if nothing was observed.
     std::optional<Base::Duration> quantile(std::string_view name, double q) const;
     /// Sum of all series of the counter \a name, given without "_total"; 0 if there is none.
     std::uint64_t total(std::string_view name) const;
-    /// Number of requests for a handle that the bound on label combinations turned to "other".
-    std::uint64_t overflowedSeries() const;
+    /// Number of requests for a series beyond the limit on label combinations.
+    std::uint64_t labelOverflows() const;
 
     /// All metrics in the Prometheus text format, version 0.0.4, in the order of their names.
     std::string toText() const;
--- a/tests/auto/metrics/tst_metrics.cpp
+++ b/tests/auto/metrics/tst_metrics.cpp
@@ -63,7 +63,7 @@
     BOOST_TEST(registry.toText().find("ep_odd") == std::string::npos);
 }
 
-// Guards against label values of callers that fill the memory, and against lost counts.
+// Guards against callers' label values that exhaust the memory, and against lost counts.
 BOOST_AUTO_TEST_CASE(labelCombinationsAreBounded)
 {
     MetricsRegistry registry;
@@ -81,7 +81,7 @@
     const Counter other = registry.counter("ep_a", "", {.kind = "other", .team = "other"});
     BOOST_TEST(other.value() == EXCESS);
     BOOST_TEST(registry.total("ep_a") == Constants::MAX_SERIES_PER_METRIC + EXCESS + 6);
-    BOOST_TEST(registry.overflowedSeries() == 3 * EXCESS - 2);
+    BOOST_TEST(registry.labelOverflows() == 3 * EXCESS - 2);
     BOOST_TEST(!registry.setGauge("ep_c", "", [] { return 1.0; }, {.domain = "new"}));
     BOOST_TEST(registry.setGauge("ep_c", "", [] { return 3.0; }, {.domain = "1" + prefix}));
     const std::string text = registry.toText();
@@ -95,8 +95,8 @@
     Histogram().observe(1ms);
 }
 
-// Guards against quantiles that are off by more than the width of a bin, over several series.
-BOOST_AUTO_TEST_CASE(quantilesAreCloseToTheTruth)
+// Guards against quantiles over several series that are off by more than the width of a bin.
+BOOST_AUTO_TEST_CASE(quantilesAreWithinOneBin)
 {
     MetricsRegistry registry;
     BOOST_TEST(!registry.quantile("ep_run_seconds", 0.5).has_value());
