--- a/src/plugins/telemetry/jobtelemetry.cpp
+++ b/src/plugins/telemetry/jobtelemetry.cpp
@@ -1,4 +1,4 @@
-// Mapping of the jobs library's reports to events and metrics.
+// Maps notifications of the jobs library to events and metrics.
 #include "jobtelemetry.h"
 
 #include <string>
@@ -12,15 +12,15 @@
 static constexpr char TASK_ENDS[] = "endivepath_task_ends";
 static constexpr char TASK_ENDS_HELP[] = "Ends of tasks, by kind and result.";
 
-/// Value of the event's detail that tells the end of a recovery from its start.
+/// Detail of a Takeover event that marks the end of a recovery; it is 0 at the start.
 static constexpr std::int64_t RECOVERY_FINISHED = 1;
 
-static std::string outcomeOfTask(FailureCode failure)
+static std::string taskOutcome(FailureCode failure)
 {
     return failure == FailureCode::None ? "succeeded" : std::string(Base::failureName(failure));
 }
 
-static EventInfo eventOf(EventType type, const Jobs::JobRecord &record)
+static EventInfo makeEvent(EventType type, const Jobs::JobRecord &record)
 {
     EventInfo event;
     event.type = type;
@@ -39,9 +39,9 @@
     , m_timers(timers)
 {}
 
-JobTelemetry::KindMetrics &JobTelemetry::metricsOf(const Base::KindId &kind)
+JobTelemetry::KindMetrics &JobTelemetry::metricsFor(const Base::KindId &kind)
 {
-    // Tasks of a job come in rows, and comparing is faster than hashing.
+    // Consecutive tasks often belong to the same job, and comparing is faster than hashing.
     if (m_lastKind && m_lastKind->first == kind)
         return m_lastKind->second;
     const auto [it, isNew] = m_kinds.try_emplace(kind);
@@ -51,7 +51,7 @@
             "endivepath_task_starts", "Starts sent to upstreams, by kind.", {.kind = kind.value()});
         it->second.successes =
             m_metrics.counter(TASK_ENDS, TASK_ENDS_HELP,
-                              {.kind = kind.value(), .outcome = outcomeOfTask(FailureCode::None)});
+                              {.kind = kind.value(), .outcome = taskOutcome(FailureCode::None)});
         it->second.queueing = m_metrics.histogram(
             "endivepath_task_queueing_seconds",
             "Time from the acceptance of a request to the first start of each of its tasks.",
@@ -62,7 +62,7 @@
 
 void JobTelemetry::requestAccepted(const Jobs::JobRecord &record)
 {
-    EventInfo event = eventOf(EventType::Accepted, record);
+    EventInfo event = makeEvent(EventType::Accepted, record);
     event.detail = static_cast<std::int64_t>(record.payloads.size());
     m_events.record(event);
 }
@@ -85,7 +85,7 @@
 {
     if (!record.outcome)
         return;
-    EventInfo event = eventOf(EventType::Answered, record);
+    EventInfo event = makeEvent(EventType::Answered, record);
     event.failure = record.outcome->failure;
     m_events.record(event);
     const Metrics::Labels labels{.kind = record.kind.value(),
@@ -104,13 +104,13 @@
 void JobTelemetry::taskStarted(const Jobs::JobRecord &record, std::size_t index,
                                const Base::UpstreamId &upstream)
 {
-    EventInfo event = eventOf(EventType::Started, record);
+    EventInfo event = makeEvent(EventType::Started, record);
     event.task = Base::TaskIndex(index);
     event.upstream = &upstream;
     m_events.record(event);
-    KindMetrics &metrics = metricsOf(record.kind);
+    KindMetrics &metrics = metricsFor(record.kind);
     metrics.starts.add();
-    // The start time is taken from the record: reading the clock again takes half as long as
+    // Uses the start time in the record: reading the clock again would take half as long as
     // recording the event.
     if (record.acceptedAt && index < record.tasks.size() && record.tasks[index].refusals == 0)
         metrics.queueing.observe(record.tasks[index].startedAt - *record.acceptedAt);
@@ -118,19 +118,19 @@
 
 void JobTelemetry::taskEnded(const Jobs::JobRecord &record, std::size_t index, FailureCode failure)
 {
-    EventInfo event = eventOf(EventType::Finished, record);
+    EventInfo event = makeEvent(EventType::Finished, record);
     event.task = Base::TaskIndex(index);
     if (index < record.tasks.size())
         event.upstream = &record.tasks[index].upstream;
     event.failure = failure;
     m_events.record(event);
     if (failure == FailureCode::None) {
-        metricsOf(record.kind).successes.add();
+        metricsFor(record.kind).successes.add();
         return;
     }
     m_metrics
         .counter(TASK_ENDS, TASK_ENDS_HELP,
-                 {.kind = record.kind.value(), .outcome = outcomeOfTask(failure)})
+                 {.kind = record.kind.value(), .outcome = taskOutcome(failure)})
         .add();
 }
 
--- a/src/plugins/telemetry/jobtelemetry.h
+++ b/src/plugins/telemetry/jobtelemetry.h
@@ -11,7 +11,7 @@
 
 namespace Telemetry {
 
-/// Records what the jobs library reports. The injected objects must outlive this one.
+/// Records notifications of the jobs library. The injected objects must outlive this one.
 class JobTelemetry : public Jobs::JobObserver
 {
 public:
@@ -29,7 +29,7 @@
     void recoveryFinished(const Base::ShardId &shard, Base::Epoch epoch) override;
 
 private:
-    /// Handles of the metrics that are counted for each task.
+    /// Handles of the metrics that are updated for each task.
     struct KindMetrics
     {
         Metrics::Counter starts;
@@ -37,7 +37,7 @@
         Metrics::Histogram queueing;
     };
 
-    KindMetrics &metricsOf(const Base::KindId &kind);
+    KindMetrics &metricsFor(const Base::KindId &kind);
 
     EventLog::EventRing &m_events;
     Metrics::MetricsRegistry &m_metrics;
--- a/src/plugins/telemetry/telemetryservice.cpp
+++ b/src/plugins/telemetry/telemetryservice.cpp
@@ -1,11 +1,11 @@
-// Construction and the gauges of the event log.
+// Constructs the event log and registers its gauges.
 #include "telemetryservice.h"
 
 namespace Telemetry {
 
 TelemetryService::TelemetryService(const Settings::Runtime &runtime, std::size_t eventCapacity)
     : m_events(runtime.settings.daemon, m_clock, eventCapacity)
-    , m_jobs(m_events, m_metrics, runtime.timers)
+    , m_jobTelemetry(m_events, m_metrics, runtime.timers)
 {}
 
 absl::Status TelemetryService::start(const Kernel::ServiceRegistry &)
--- a/src/plugins/telemetry/telemetryservice.h
+++ b/src/plugins/telemetry/telemetryservice.h
@@ -11,11 +11,11 @@
 
 namespace Telemetry {
 
-/// Must be registered before the services that record here. Usable from its construction on.
+/// Must be registered before the services that record events or metrics. Usable once constructed.
 class TelemetryService : public Kernel::Service
 {
 public:
-    /// 20 MB, and 20 s of events at 5,000 task starts a second.
+    /// Takes 20 MB and holds the events of 20 s at 5,000 task starts per second.
     static constexpr std::size_t DEFAULT_EVENT_CAPACITY = 100'000;
 
     explicit TelemetryService(const Settings::Runtime &runtime,
@@ -26,7 +26,7 @@
     EventLog::HybridClock &clock() { return m_clock; }
     const EventLog::EventRing &events() const { return m_events; }
     Metrics::MetricsRegistry &metrics() { return m_metrics; }
-    Jobs::JobObserver &jobObserver() { return m_jobs; }
+    Jobs::JobObserver &jobObserver() { return m_jobTelemetry; }
 
     void record(const EventLog::EventInfo &event) { m_events.record(event); }
 
@@ -34,7 +34,7 @@
     EventLog::HybridClock m_clock;
     EventLog::EventRing m_events;
     Metrics::MetricsRegistry m_metrics;
-    JobTelemetry m_jobs;
+    JobTelemetry m_jobTelemetry;
 };
 
 } // namespace Telemetry
--- a/tests/auto/telemetry/tst_telemetry.cpp
+++ b/tests/auto/telemetry/tst_telemetry.cpp
@@ -1,4 +1,4 @@
-// Tests of the mapping from the jobs library's reports to events and metrics.
+// Tests of the mapping from notifications of the jobs library to events and metrics.
 #include <support/manualtimers.h>
 #include <telemetry/jobtelemetry.h>
 
@@ -46,8 +46,8 @@
 
 } // namespace
 
-// Guards against events without the ids by which operators find them.
-BOOST_FIXTURE_TEST_CASE(recordsTheCourseOfAJob, Fixture)
+// Guards against events without the ids by which operators search for them.
+BOOST_FIXTURE_TEST_CASE(recordsJobEvents, Fixture)
 {
     telemetry.requestAccepted(record);
     timers.advance(2s);
@@ -87,9 +87,10 @@
     BOOST_TEST(hasLine(R"(endivepath_task_queueing_seconds_sum{kind="audit"} 2)"));
 }
 
-// Guards against times that are measured from the start of the host for records of other daemons,
-// and against queueing times that count a task again after a refused start.
-BOOST_FIXTURE_TEST_CASE(measuresNoTimeThatItDoesNotKnow, Fixture)
+// Guards against times that are measured from the start of the host, for records of other daemons
+// that have no acceptance time, and against counting a task's queueing time again after a refused
+// start.
+BOOST_FIXTURE_TEST_CASE(omitsUnknownTimes, Fixture)
 {
     telemetry.taskStarted(record, 1, upstream);
     record.tasks[1].refusals = 1;
@@ -107,7 +108,7 @@
     BOOST_TEST(metrics.total("endivepath_requests") == 1);
 }
 
-// Guards against a shard named for requests that run at their entry daemon.
+// Guards against events that name a shard for requests that run at their entry daemon.
 BOOST_FIXTURE_TEST_CASE(recordsLocalRequestsWithoutShard, Fixture)
 {
     record.shard = {};
@@ -116,7 +117,7 @@
     BOOST_TEST(events().at(0).epoch == Base::Epoch());
 }
 
-// Guards against refusals without their reason.
+// Guards against refusals that are recorded without their reason.
 BOOST_FIXTURE_TEST_CASE(recordsRefusals, Fixture)
 {
     Jobs::Submission submission;
@@ -131,7 +132,7 @@
         hasLine(R"(endivepath_admission_refusals_total{team="kalkan",reason="quotaExceeded"} 1)"));
 }
 
-// Guards against a recovery whose end can't be told from its start.
+// Guards against events that do not distinguish the end of a recovery from its start.
 BOOST_FIXTURE_TEST_CASE(recordsTakeovers, Fixture)
 {
     telemetry.recoveryStarted(record.shard, Base::Epoch(8));
