--- a/tests/auto/eventlog/tst_eventlog.cpp
+++ b/tests/auto/eventlog/tst_eventlog.cpp
@@ -204,9 +204,9 @@
                                       "{" + valid + R"(0,"task":"x"})",
                                       R"({"type":"unheardOf"})"};
     for (const std::string &text : unreadable) {
-        const std::string answer =
+        const std::string reply =
             R"({"daemon":"d","overwritten":0,"events":[{)" + valid + "0}," + text + "]}";
-        BOOST_REQUIRE(daemonEventsFromJson(answer, received).ok());
+        BOOST_REQUIRE(daemonEventsFromJson(reply, received).ok());
         BOOST_TEST(received.events.size() == 1);
         BOOST_TEST(received.unreadable == 1);
     }
