--- a/src/app/endivepathd/platformdaemon.cpp
+++ b/src/app/endivepathd/platformdaemon.cpp
@@ -30,12 +30,12 @@
 static PeerLink::LinkOptions linkOptions()
 {
     PeerLink::LinkOptions options;
-    options.reconnect = std::chrono::milliseconds(100);
+    options.reconnectDelay = std::chrono::milliseconds(100);
     // A packet that is lost in a cut is sent again after 1 s; a new connection is faster.
-    options.dialLimit = std::chrono::milliseconds(400);
+    options.connectTimeout = std::chrono::milliseconds(400);
     // State messages come every 100 ms, or 300 ms in a large deployment.
-    options.silenceLimit = std::chrono::milliseconds(800);
-    options.writeLimit = std::chrono::milliseconds(1000);
+    options.idleTimeout = std::chrono::milliseconds(800);
+    options.writeTimeout = std::chrono::milliseconds(1000);
     options.acceptUnlisted = true;
     return options;
 }
--- a/src/plugins/peerlink/handshake.cpp
+++ b/src/plugins/peerlink/handshake.cpp
@@ -1,4 +1,4 @@
-// HMAC-SHA-256 by OpenSSL.
+// HMAC-SHA-256 with OpenSSL.
 #include "handshake.h"
 
 #include <fmt/format.h>
--- a/src/plugins/peerlink/handshake.h
+++ b/src/plugins/peerlink/handshake.h
@@ -1,6 +1,6 @@
-// Authentication of a peer connection: both sides prove that they know the deployment's key by an
-// HMAC over both nonces. It protects against strangers and misconfigured daemons, not against an
-// attacker who can alter packets on the network between the hosts.
+// Authentication of a peer connection: each side proves that it knows the deployment's shared key
+// with an HMAC over both nonces. This protects against unknown clients and misconfigured daemons,
+// but not against an attacker who can alter packets on the network between the hosts.
 #pragma once
 
 #include <wire/messages.h>
@@ -12,10 +12,11 @@
 
 enum class HandshakeRole { Dialer, Acceptor };
 
-/// 16 random bytes in hex.
+/// Returns 16 random bytes in hex.
 std::string makeNonce();
 
-/// The proof of the side \a role. The hellos are those that the two sides have sent first.
+/// Returns the proof that the side with \a role sends. \a dialer and \a acceptor are the first
+/// hello messages of the two sides.
 std::string makeProof(std::string_view key, HandshakeRole role, const Wire::Hello &dialer,
                       const Wire::Hello &acceptor);
 
--- a/src/plugins/peerlink/inboundconnection.cpp
+++ b/src/plugins/peerlink/inboundconnection.cpp
@@ -1,4 +1,4 @@
-// Handshake and reading.
+// Acceptor side of the handshake, and reading of messages.
 #include "inboundconnection.h"
 
 #include "handshake.h"
@@ -33,22 +33,22 @@
 {
     asio::error_code ec;
     m_socket.set_option(asio::ip::tcp::no_delay(true), ec);
-    armSilenceTimer();
+    restartIdleTimer();
     read();
 }
 
 void InboundConnection::close()
 {
     m_ended = {};
-    end("closed here");
+    end("closed by this daemon");
 }
 
-void InboundConnection::armSilenceTimer()
+void InboundConnection::restartIdleTimer()
 {
-    m_timer.expires_after(m_options.silenceLimit);
+    m_timer.expires_after(m_options.idleTimeout);
     m_timer.async_wait([self = shared_from_this()](const asio::error_code &ec) {
         if (!ec)
-            self->end("silent for too long");
+            self->end("idle timeout");
     });
 }
 
@@ -64,7 +64,7 @@
                 return;
             }
             self->m_decoder.append({self->m_readBuffer.data(), n});
-            self->armSilenceTimer();
+            self->restartIdleTimer();
             self->process();
         });
 }
--- a/src/plugins/peerlink/inboundconnection.h
+++ b/src/plugins/peerlink/inboundconnection.h
@@ -1,4 +1,4 @@
-// A connection on which a peer sends to this daemon.
+// A connection on which a peer sends messages to this daemon.
 #pragma once
 
 #include "linkoptions.h"
@@ -39,7 +39,7 @@
     bool handle(const Wire::Message &message);
     bool helloReceived(const Wire::Hello &hello);
     bool proofReceived(const Wire::Hello &hello);
-    void armSilenceTimer();
+    void restartIdleTimer();
     void end(const char *reason);
 
     const Settings::Runtime m_runtime;
@@ -54,8 +54,8 @@
     Stage m_stage = Stage::AwaitHello;
     Wire::Hello m_dialer;
     Wire::Hello m_ownHello;
-    std::string m_outgoing;        // the one frame that is sent on this connection
-    Wire::PeerIdentity m_identity; // valid when ready
+    std::string m_outgoing;        // hello, the only frame sent on this connection
+    Wire::PeerIdentity m_identity; // valid in Stage::Ready
     bool m_isEnded = false;
 };
 
--- a/src/plugins/peerlink/linkoptions.h
+++ b/src/plugins/peerlink/linkoptions.h
@@ -1,4 +1,4 @@
-// Timing of the connections between daemons.
+// Timeouts and peer admission of the connections between daemons.
 #pragma once
 
 #include "peerlinkconstants.h"
@@ -9,12 +9,12 @@
 
 struct LinkOptions
 {
-    std::chrono::milliseconds reconnect = Constants::RECONNECT_MS;
-    std::chrono::milliseconds dialLimit = Constants::DIAL_LIMIT_MS;
-    std::chrono::milliseconds silenceLimit = Constants::SILENCE_LIMIT_MS;
-    std::chrono::milliseconds writeLimit = Constants::WRITE_LIMIT_MS;
-    /// Accepts every daemon that proves to know the peer key, for deployments whose daemons find
-    /// each other at run time.
+    std::chrono::milliseconds reconnectDelay = Constants::RECONNECT_DELAY_MS;
+    std::chrono::milliseconds connectTimeout = Constants::CONNECT_TIMEOUT_MS;
+    std::chrono::milliseconds idleTimeout = Constants::IDLE_TIMEOUT_MS;
+    std::chrono::milliseconds writeTimeout = Constants::WRITE_TIMEOUT_MS;
+    /// Accepts every daemon that proves knowledge of the peer key, for deployments whose daemons
+    /// discover each other at run time.
     bool acceptUnlisted = false;
 };
 
--- a/src/plugins/peerlink/outboundconnection.cpp
+++ b/src/plugins/peerlink/outboundconnection.cpp
@@ -1,4 +1,4 @@
-// Dialling, handshake and writing.
+// Dialing, dialer side of the handshake, and writing of messages.
 #include "outboundconnection.h"
 
 #include "handshake.h"
@@ -44,7 +44,7 @@
 void OutboundConnection::reset()
 {
     if (m_isUp)
-        fail("reset, since the peer receives nothing");
+        fail("reset because the peer receives no messages");
 }
 
 void OutboundConnection::dial()
@@ -56,31 +56,31 @@
     m_decoder = Wire::FrameDecoder(Wire::Constants::MAX_FRAME_BYTES);
     asio::error_code ec;
     const auto address = asio::ip::make_address(m_peer.endpoint.address, ec);
-    m_timer.expires_after(m_options.dialLimit);
+    m_timer.expires_after(m_options.connectTimeout);
     m_timer.async_wait([self = shared_from_this(), generation](const asio::error_code &error) {
         if (!error && generation == self->m_generation && !self->m_isUp)
-            self->fail("no handshake in time");
+            self->fail("connect or handshake timed out");
     });
     m_socket.async_connect({address, m_peer.endpoint.port},
                            [self = shared_from_this(), generation](const asio::error_code &error) {
                                if (generation != self->m_generation || self->m_isClosed)
                                    return;
                                if (error)
-                                   self->fail("can't connect");
+                                   self->fail("connect failed");
                                else
-                                   self->greet();
+                                   self->sendHello();
                            });
 }
 
-void OutboundConnection::greet()
+void OutboundConnection::sendHello()
 {
     asio::error_code ec;
     m_socket.set_option(asio::ip::tcp::no_delay(true), ec);
-    // Small messages fit into the buffer of the socket, so writes go on through a cut. Without a
-    // limit for their acknowledgement the connection stays open and silent for seconds after the
-    // cut.
+    // Small messages fit into the socket's send buffer, so writes keep succeeding during a network
+    // partition. Without a limit on unacknowledged data the connection would stay open but silent
+    // for seconds after the partition has ended.
     using UserTimeout = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>;
-    m_socket.set_option(UserTimeout(static_cast<int>(m_options.writeLimit.count())), ec);
+    m_socket.set_option(UserTimeout(static_cast<int>(m_options.writeTimeout.count())), ec);
     if (ec)
         Base::log(Base::LogLevel::Warning, "noUserTimeout", {{"error", ec.message()}});
     m_ownHello = {m_runtime.settings.daemon.value(), m_runtime.settings.domain.value(),
@@ -99,7 +99,7 @@
                                  if (generation != self->m_generation || self->m_isClosed)
                                      return;
                                  if (ec) {
-                                     self->fail("closed during the handshake");
+                                     self->fail("connection closed during the handshake");
                                      return;
                                  }
                                  self->m_decoder.append({self->m_readBuffer.data(), n});
@@ -132,7 +132,7 @@
     answer.proof = makeProof(m_runtime.settings.peerKey, HandshakeRole::Dialer, m_ownHello, hello);
     m_queue.push_back(Wire::encodeFrame(answer));
     m_queuedBytes += m_queue.back().size();
-    if (m_inWrite == 0)
+    if (m_framesInWrite == 0)
         write();
     m_isUp = true;
     m_timer.cancel();
@@ -158,7 +158,7 @@
         return false;
     m_queuedBytes += frame.size();
     m_queue.push_back(std::move(frame));
-    if (m_inWrite == 0)
+    if (m_framesInWrite == 0)
         write();
     return true;
 }
@@ -171,13 +171,13 @@
         if (buffers.size() >= Constants::MAX_BUFFERS_PER_WRITE)
             break;
     }
-    m_inWrite = buffers.size();
+    m_framesInWrite = buffers.size();
     if (m_isUp) {
-        m_timer.expires_after(m_options.writeLimit);
+        m_timer.expires_after(m_options.writeTimeout);
         m_timer.async_wait(
             [self = shared_from_this(), generation = m_generation](const asio::error_code &error) {
-                if (!error && generation == self->m_generation && self->m_inWrite > 0)
-                    self->fail("the peer takes no data");
+                if (!error && generation == self->m_generation && self->m_framesInWrite > 0)
+                    self->fail("write timed out");
             });
     }
     asio::async_write(m_socket, buffers,
@@ -189,7 +189,7 @@
                               self->fail("write failed");
                               return;
                           }
-                          for (; self->m_inWrite > 0; --self->m_inWrite) {
+                          for (; self->m_framesInWrite > 0; --self->m_framesInWrite) {
                               self->m_queuedBytes -= self->m_queue.front().size();
                               self->m_queue.pop_front();
                           }
@@ -206,7 +206,7 @@
     m_timer.cancel();
     m_queue.clear();
     m_queuedBytes = 0;
-    m_inWrite = 0;
+    m_framesInWrite = 0;
     const bool wasUp = std::exchange(m_isUp, false);
     if (m_isClosed)
         return;
@@ -216,7 +216,7 @@
         if (m_stateChanged)
             m_stateChanged(m_peer, false);
     }
-    m_runtime.timers.schedule(m_options.reconnect,
+    m_runtime.timers.schedule(m_options.reconnectDelay,
                               [self = shared_from_this(), generation = m_generation] {
                                   if (generation == self->m_generation)
                                       self->dial();
--- a/src/plugins/peerlink/outboundconnection.h
+++ b/src/plugins/peerlink/outboundconnection.h
@@ -1,4 +1,4 @@
-// The connection on which this daemon sends to one peer.
+// The connection on which this daemon sends messages to one peer.
 #pragma once
 
 #include "linkoptions.h"
@@ -18,12 +18,12 @@
 
 namespace PeerLink {
 
-/// Dials one peer and keeps the connection up. Frames that were queued when a connection breaks are
-/// lost. Shared ownership keeps it alive while the loop holds callbacks.
+/// Dials one peer and reconnects when the connection is lost. Frames that are still queued at that
+/// time are dropped. Shared ownership keeps the object alive while the event loop holds callbacks.
 class OutboundConnection : public std::enable_shared_from_this<OutboundConnection>
 {
 public:
-    /// Called when the connection has become usable, or has stopped being so.
+    /// Called when the connection has come up or gone down.
     using StateCallback = std::function<void(const Settings::PeerSettings &, bool isUp)>;
 
     OutboundConnection(const Settings::Runtime &runtime, const LinkOptions &options,
@@ -31,7 +31,7 @@
 
     void start();
     void close();
-    /// Drops a connection that is up and dials again.
+    /// Closes the connection if it is up, and reconnects.
     void reset();
     const Settings::PeerSettings &peer() const { return m_peer; }
 
@@ -41,7 +41,7 @@
 
 private:
     void dial();
-    void greet();
+    void sendHello();
     void awaitHello();
     void helloReceived(const Wire::Hello &hello);
     void watchForClose();
@@ -58,9 +58,9 @@
     Wire::FrameDecoder m_decoder;
     Wire::Hello m_ownHello;
     std::deque<std::string> m_queue;
-    std::size_t m_queuedBytes = 0;  // sum over m_queue
-    std::size_t m_inWrite = 0;      // frames at the front of m_queue that are being written
-    std::uint64_t m_generation = 0; // tells callbacks of an earlier connection
+    std::size_t m_queuedBytes = 0;   // total size of m_queue
+    std::size_t m_framesInWrite = 0; // frames at the front of m_queue that are being written
+    std::uint64_t m_generation = 0;  // identifies callbacks of earlier connections
     bool m_isUp = false;
     bool m_isClosed = false;
 };
--- a/src/plugins/peerlink/peerlink.cpp
+++ b/src/plugins/peerlink/peerlink.cpp
@@ -1,4 +1,4 @@
-// Accepting, dispatching and sending.
+// Accepting of connections, dispatching and sending of messages.
 #include "peerlink.h"
 
 #include "peerlinkconstants.h"
@@ -29,7 +29,7 @@
 {
     m_telemetry = registry.find<Telemetry::TelemetryService>(Kernel::ServiceNames::TELEMETRY);
     EP_ASSERT(m_telemetry, return Base::makeFailure(Base::FailureCode::Internal,
-                                                    "peer link: missing service"));
+                                                    "peer link: telemetry service not found"));
     m_sentMessages = m_telemetry->metrics().counter("endivepath_peer_messages_sent",
                                                     "Messages queued for other daemons.");
     m_sentBytes = m_telemetry->metrics().counter("endivepath_peer_bytes_sent",
@@ -43,7 +43,7 @@
         m_acceptor.listen();
     } catch (const std::exception &error) {
         return Base::makeFailure(Base::FailureCode::InvalidSettings,
-                                 std::string("can't listen on the peer port: ") + error.what());
+                                 std::string("cannot listen on the peer port: ") + error.what());
     }
     accept();
     for (const Settings::PeerSettings &it : m_runtime.settings.peers)
@@ -122,7 +122,7 @@
 
 void PeerLinkService::messageReceived(const Wire::PeerIdentity &from, const Wire::Message &message)
 {
-    // A message may add listeners: the first manifest creates the shard ownership.
+    // Handling a message may add listeners: the first manifest creates the shard ownership.
     const std::size_t n = m_listeners.size();
     for (std::size_t i = 0; i < n; ++i)
         m_listeners[i]->peerMessageReceived(from, message);
--- a/src/plugins/peerlink/peerlink.h
+++ b/src/plugins/peerlink/peerlink.h
@@ -17,8 +17,8 @@
 
 namespace PeerLink {
 
-/// Sends on connections that it dials and receives on those that it accepts, so each pair of
-/// daemons has one connection for each direction.
+/// Sends on the connections that it dials and receives on those that it accepts, so each pair of
+/// daemons has one connection per direction.
 class PeerLinkService : public Kernel::Service, public Wire::PeerPort
 {
 public:
@@ -28,11 +28,11 @@
     absl::Status start(const Kernel::ServiceRegistry &registry) override;
     void stop() override;
 
-    /// Every listener receives every message, in the order of their addition. Listeners outlive the
-    /// service's stop().
+    /// Listeners receive every message, in the order in which they were added. A listener must stay
+    /// valid until stop() has returned.
     void addListener(Wire::PeerListener *listener);
 
-    /// Replaces the set of peers to dial. Connections to peers that stay are kept.
+    /// Replaces the set of peers to dial. Connections to unchanged peers are kept.
     void setPeers(const std::vector<Settings::PeerSettings> &peers);
 
     bool send(const Base::DaemonId &peer, const Wire::Message &message) override;
