--- a/src/plugins/platformclient/platformclient.cpp
+++ b/src/plugins/platformclient/platformclient.cpp
@@ -1,4 +1,4 @@
-// Requests to the platform and their typed failures.
+// Requests to the platform, and mapping of responses to failure codes.
 #include "platformclient.h"
 
 #include <base/failure.h>
@@ -11,7 +11,7 @@
 using Base::makeFailure;
 using nlohmann::json;
 
-/// The platform's few entry points need few connections each.
+/// Per host. The platform has few entry points, each of which needs few connections.
 static constexpr long MAX_CONNECTIONS = 8;
 
 PlatformClientService::PlatformClientService(const Settings::Runtime &runtime)
@@ -34,20 +34,20 @@
     return request;
 }
 
-/// The failure of a request that had no effect if it failed.
+/// Maps the response to a read, which has no effect on the platform.
 static absl::Status readStatus(const Http::ClientResponse &response)
 {
     if (!response.status.ok())
         return makeFailure(FailureCode::PlatformUnavailable, Base::failureMessage(response.status));
     if (response.httpStatus == 404)
-        return makeFailure(FailureCode::UnknownRequest, "the platform has no such object");
+        return makeFailure(FailureCode::UnknownRequest, "object not found on the platform");
     if (response.httpStatus != 200)
         return makeFailure(FailureCode::PlatformUnavailable,
                            "HTTP status " + std::to_string(response.httpStatus));
     return absl::OkStatus();
 }
 
-/// The failure of a request that may have taken effect although it failed.
+/// Maps the response to a write, which may have taken effect although it failed.
 static absl::Status writeStatus(const Http::ClientResponse &response)
 {
     if (!response.status.ok()) {
@@ -59,8 +59,9 @@
     case 200:
         return absl::OkStatus();
     case 409:
-        return makeFailure(FailureCode::VersionMismatch, "the row has another version");
-    case 503: // the platform refuses before it writes
+        return makeFailure(FailureCode::VersionMismatch,
+                           "the row's version differs from the expected one");
+    case 503: // the platform rejects the request before it writes
         return makeFailure(FailureCode::PlatformUnavailable, "HTTP status 503");
     default:
         return makeFailure(FailureCode::FateUnknown,
@@ -105,7 +106,7 @@
                               && body["version"].is_number_unsigned())
                               version = body["version"];
                           else
-                              status = makeFailure(FailureCode::FateUnknown, "malformed answer");
+                              status = makeFailure(FailureCode::FateUnknown, "malformed response");
                       }
                       callback(status, version);
                   });
--- a/src/plugins/platformclient/platformclient.h
+++ b/src/plugins/platformclient/platformclient.h
@@ -11,7 +11,7 @@
 
 namespace PlatformClient {
 
-/// Speaks the platform's protocol of docs/protocols.md. Holds no state but requests under way.
+/// Implements the platform protocol of docs/protocols.md. Its only state is requests in progress.
 class PlatformClientService : public Kernel::Service,
                               public Storage::Table,
                               public Storage::ObjectStore,
