--- a/src/plugins/upstreamclient/upstreamclient.cpp
+++ b/src/plugins/upstreamclient/upstreamclient.cpp
@@ -1,4 +1,4 @@
-// JSON form of orders and reports.
+// JSON encoding of requests to workers, and decoding of their responses.
 #include "upstreamclient.h"
 
 #include <base/failure.h>
@@ -19,9 +19,9 @@
 using Jobs::TaskState;
 using nlohmann::json;
 
-/// An executor takes about 60 connections, shared by the daemons of its failure domain.
+/// An executor accepts about 60 connections, shared by the daemons of its failure domain.
 static constexpr long MAX_CONNECTIONS_PER_UPSTREAM = 20;
-static constexpr std::chrono::milliseconds SHORT_TIMEOUT_MS{1500};
+static constexpr std::chrono::milliseconds REQUEST_TIMEOUT_MS{1500};
 
 UpstreamClientService::UpstreamClientService(const Settings::Runtime &runtime)
     : m_client(runtime.io, MAX_CONNECTIONS_PER_UPSTREAM)
@@ -30,7 +30,8 @@
 absl::Status UpstreamClientService::start(const Kernel::ServiceRegistry &registry)
 {
     auto *manifest = registry.find<ManifestService::ManifestHolder>(Kernel::ServiceNames::MANIFEST);
-    EP_ASSERT(manifest, return makeFailure(FailureCode::Internal, "no manifest service"));
+    EP_ASSERT(manifest, return makeFailure(FailureCode::Internal,
+                                           "upstream client: manifest service not found"));
     manifest->observe([this](const ManifestService::ManifestHolder::Snapshot &snapshot) {
         for (const auto &[id, upstream] : snapshot->upstreams)
             m_urls[id] = upstream.url;
@@ -45,9 +46,9 @@
     Http::ClientRequest request;
     request.method = method;
     const auto it = m_urls.find(upstream);
-    // Port 0 can't be connected to, so an unknown upstream is reported as not reached.
+    // Connecting to port 0 always fails, so an unknown upstream is reported as unreachable.
     request.url = (it == m_urls.end() ? "http://127.0.0.1:0" : it->second) + std::string(path);
-    request.timeout = SHORT_TIMEOUT_MS;
+    request.timeout = REQUEST_TIMEOUT_MS;
     return request;
 }
 
@@ -72,17 +73,17 @@
     return report;
 }
 
-/// Reads {"tasks":[...]}. Fails for anything that is not an answer of the worker protocol.
+/// Parses {"tasks":[...]}. Fails if the response does not conform to the worker protocol.
 static absl::Status readReports(const Http::ClientResponse &response, json &body,
                                 std::vector<TaskReport> &reports)
 {
     if (!response.status.ok())
         return response.status;
     if (response.httpStatus == 404)
-        return makeFailure(FailureCode::Unservable, "the worker lacks the operation");
+        return makeFailure(FailureCode::Unservable, "the worker does not support the operation");
     body = json::parse(response.body, nullptr, false);
     if (response.httpStatus != 200 || !body.is_object())
-        return makeFailure(FailureCode::FateUnknown, "malformed answer of a worker");
+        return makeFailure(FailureCode::FateUnknown, "malformed response from a worker");
     try {
         for (const json &it : body.value("tasks", json::array()))
             reports.push_back(makeReport(it));
@@ -133,7 +134,7 @@
                                   StartCallback callback)
 {
     Http::ClientRequest request = makeRequest(upstream, "POST", "/v1/tasks");
-    // The payload is JSON already and is passed on as it came.
+    // The payload is JSON already and is inserted unchanged.
     request.body = fmt::format(R"({{"task":{},"shard":{},"epoch":{},"kind":{},"payload":{}}})",
                                json(order.task.value()).dump(), json(order.shard).dump(),
                                order.epoch.value(), json(order.kind.value()).dump(), order.payload);
@@ -164,19 +165,20 @@
         makeRequest(upstream, "GET",
                     fmt::format("/v1/tasks?task={}&waitMs={}", escapeQuery(task.value()),
                                 Base::toMilliseconds(wait)));
-    request.timeout = wait + SHORT_TIMEOUT_MS;
+    request.timeout = wait + REQUEST_TIMEOUT_MS;
     m_client.send(
         std::move(request), [callback = std::move(callback)](const Http::ClientResponse &response) {
             const json body = json::parse(response.body, nullptr, false);
             if (!response.status.ok() || response.httpStatus != 200 || !body.is_object()) {
-                callback(makeFailure(FailureCode::FateUnknown, "no answer of the worker"), {});
+                callback(makeFailure(FailureCode::FateUnknown, "no valid response from the worker"),
+                         {});
                 return;
             }
             callback(absl::OkStatus(), {makeReport(body)});
         });
 }
 
-static json taskList(const std::vector<Jobs::TaskName> &tasks)
+static json taskListJson(const std::vector<Jobs::TaskName> &tasks)
 {
     json names = json::array();
     for (const Jobs::TaskName &it : tasks)
@@ -189,7 +191,7 @@
                                    ReportsCallback callback)
 {
     Http::ClientRequest request = makeRequest(upstream, "POST", "/v1/revoke");
-    request.body = taskList(tasks).dump();
+    request.body = taskListJson(tasks).dump();
     m_client.send(std::move(request),
                   [callback = std::move(callback)](const Http::ClientResponse &response) {
                       json body;
@@ -203,7 +205,7 @@
                                  const std::vector<Jobs::TaskName> &tasks)
 {
     Http::ClientRequest request = makeRequest(upstream, "POST", "/v1/stop");
-    request.body = taskList(tasks).dump();
+    request.body = taskListJson(tasks).dump();
     m_client.send(std::move(request), [](const Http::ClientResponse &) {});
 }
 
--- a/src/plugins/upstreamclient/upstreamclient.h
+++ b/src/plugins/upstreamclient/upstreamclient.h
@@ -1,4 +1,4 @@
-// Orders to workers over HTTP.
+// Requests to workers over HTTP.
 #pragma once
 
 #include <http/client.h>
@@ -11,7 +11,7 @@
 
 namespace UpstreamClient {
 
-/// Speaks the worker protocol of docs/protocols.md with the upstreams of the manifest in force.
+/// Client of the worker protocol of docs/protocols.md. The manifest in force lists the upstreams.
 class UpstreamClientService : public Kernel::Service, public Jobs::WorkerPort
 {
 public:
@@ -37,7 +37,7 @@
                                     std::string_view path) const;
 
     Http::Client m_client;
-    std::map<Base::UpstreamId, std::string> m_urls; // also of upstreams that left the manifest
+    std::map<Base::UpstreamId, std::string> m_urls; // including upstreams removed from the manifest
 };
 
 } // namespace UpstreamClient
