--- a/src/plugins/callergateway/callergateway.cpp
+++ b/src/plugins/callergateway/callergateway.cpp
@@ -1,4 +1,4 @@
-// Endpoints of the callers' port.
+// HTTP endpoints for callers.
 #include "callergateway.h"
 
 #include <base/failure.h>
@@ -60,7 +60,7 @@
     return m_manifest->current() && !m_cluster->isDraining();
 }
 
-static RequestRouter::AnswerCallback responder(const Http::Respond &respond)
+static RequestRouter::AnswerCallback makeAnswerCallback(const Http::Respond &respond)
 {
     return [respond](const HttpAnswer &answer) {
         respond({answer.status, answer.body, "application/json", answer.retryAfterSeconds});
@@ -78,7 +78,7 @@
 void CallerGatewayService::handle(const Http::Request &request, const Http::Respond &respond)
 {
     if (request.matches("POST", {"v1", "requests"})) {
-        m_router->submit(request.body, responder(respond));
+        m_router->submit(request.body, makeAnswerCallback(respond));
         return;
     }
     if (request.matches("GET", {"v1", "healthy"})) {
@@ -98,14 +98,15 @@
         return;
     }
     if (!isValidName(request.path[2]) || !isValidName(request.path[3])) {
-        responder(respond)(makeErrorAnswer(FailureCode::BadRequest, "malformed team or key"));
+        makeAnswerCallback(respond)(
+            makeErrorAnswer(FailureCode::BadRequest, "malformed team or key"));
         return;
     }
     const Base::RequestId id{Base::TeamId(request.path[2]), Base::RequestKey(request.path[3])};
     if (isCancel)
-        m_router->cancel(id, responder(respond));
+        m_router->cancel(id, makeAnswerCallback(respond));
     else
-        m_router->query(id, waitParameter(request), responder(respond));
+        m_router->query(id, waitParameter(request), makeAnswerCallback(respond));
 }
 
 } // namespace CallerGateway
--- a/src/plugins/callergateway/callergateway.h
+++ b/src/plugins/callergateway/callergateway.h
@@ -1,4 +1,4 @@
-// The callers' HTTP port.
+// HTTP server for callers.
 #pragma once
 
 #include "requestrouter.h"
@@ -11,15 +11,16 @@
 
 namespace CallerGateway {
 
-/// Serves the callers' interface of docs/protocols.md, and the balancer's questions for health and
-/// readiness. Opens its port last and withdraws readiness first.
+/// Serves the caller interface of docs/protocols.md, and the health and readiness checks of the
+/// load balancer. Opens its port last at startup and withdraws readiness first at shutdown.
 class CallerGatewayService : public Kernel::Service
 {
 public:
     explicit CallerGatewayService(const Settings::Runtime &runtime);
 
     absl::Status start(const Kernel::ServiceRegistry &registry) override;
-    /// Withdraws readiness, then gives the balancer the notice period to send callers elsewhere.
+    /// Withdraws readiness, then waits for the notice period, in which the load balancer redirects
+    /// callers to other daemons.
     void drain(std::function<void()> done) override;
     void stop() override;
 
--- a/src/plugins/callergateway/requestcodec.cpp
+++ b/src/plugins/callergateway/requestcodec.cpp
@@ -1,4 +1,4 @@
-// Parsing and writing of the callers' JSON.
+// Parsing of requests and serialization of answers.
 #include "requestcodec.h"
 
 #include <base/failure.h>
@@ -16,9 +16,9 @@
 using Base::makeFailure;
 using nlohmann::json;
 
-/// A deadline or wait beyond a day is a mistake of the caller.
+/// A deadline or wait of more than a day is taken for a mistake of the caller.
 static constexpr std::int64_t MAX_DURATION_MS = 24LL * 3600 * 1000;
-/// Writing a task recurses once for each level.
+/// Serializing a task recurses once per nesting level.
 static constexpr std::size_t MAX_NESTING = 100;
 static constexpr std::array KNOWN_MEMBERS{
     "team", "key", "kind", "tasks", "deadlineMs", "waitMs", "firstSubmission", "nonRepeatable"};
@@ -186,8 +186,8 @@
     return answer;
 }
 
-/// Whole seconds for the header, rounded up.
-static std::uint32_t retrySeconds(Base::Duration retryAfter)
+/// For the header Retry-After, rounded up to whole seconds.
+static std::uint32_t toRetryAfterSeconds(Base::Duration retryAfter)
 {
     return static_cast<std::uint32_t>((Base::toMilliseconds(retryAfter) + 999) / 1000);
 }
@@ -197,7 +197,7 @@
     if (!reply.status.ok()) {
         HttpAnswer error =
             makeErrorAnswer(Base::failureCode(reply.status), Base::failureMessage(reply.status));
-        error.retryAfterSeconds = retrySeconds(reply.view.retryAfter);
+        error.retryAfterSeconds = toRetryAfterSeconds(reply.view.retryAfter);
         return error;
     }
     const Jobs::RequestView &view = reply.view;
@@ -210,7 +210,7 @@
     if (view.retryAfter > Base::Duration(0)) {
         const auto retryMs = Base::toMilliseconds(view.retryAfter);
         answer.body += fmt::format(R"(,"retryAfterMs":{})", retryMs);
-        answer.retryAfterSeconds = retrySeconds(view.retryAfter);
+        answer.retryAfterSeconds = toRetryAfterSeconds(view.retryAfter);
     }
     if (view.state == Jobs::RequestState::Complete) {
         // Results are JSON already.
--- a/src/plugins/callergateway/requestcodec.h
+++ b/src/plugins/callergateway/requestcodec.h
@@ -1,4 +1,4 @@
-// JSON form of requests and answers, as docs/protocols.md describes it.
+// JSON encoding of requests and answers, as specified in docs/protocols.md.
 #pragma once
 
 #include <jobs/request.h>
@@ -13,7 +13,8 @@
 
 namespace CallerGateway {
 
-/// A submission with what concerns only the entry daemon.
+/// A submission, and the members that only the entry daemon uses: the one that the caller sent it
+/// to.
 struct ParsedSubmission
 {
     Jobs::Submission submission;
@@ -21,14 +22,14 @@
     bool isFirst = false;                          // the caller has never sent this key before
 };
 
-/// The longest team name and key.
+/// Maximum length of team names, keys and kinds.
 constexpr std::size_t MAX_NAME_BYTES = 200;
 
 /// Errors: badRequest, tooLarge.
 absl::Status parseSubmission(std::string_view body, const Settings::LimitSettings &limits,
                              ParsedSubmission &parsed);
 
-/// Team names and keys consist of letters, digits and "-_.:~".
+/// Returns whether \a name is a valid team name, key or kind: letters, digits and "-_.:~".
 bool isValidName(std::string_view name);
 
 struct HttpAnswer
@@ -39,7 +40,7 @@
 };
 
 HttpAnswer makeAnswer(const Base::RequestId &id, const Jobs::Reply &reply);
-/// An answer that states no outcome.
+/// Returns an answer without the state of a request.
 HttpAnswer makeErrorAnswer(Base::FailureCode code, std::string_view message);
 
 } // namespace CallerGateway
--- a/src/plugins/callergateway/requestrouter.cpp
+++ b/src/plugins/callergateway/requestrouter.cpp
@@ -1,4 +1,4 @@
-// Choice of the daemon, forwarding and answering.
+// Choice of the daemon, forwarding of requests and answers to callers.
 #include "requestrouter.h"
 
 #include <base/failure.h>
@@ -17,16 +17,18 @@
 using Base::makeFailure;
 using Wire::ForwardOperation;
 
-/// Pause before another daemon is asked. A takeover lasts longer than several of these.
-static constexpr std::chrono::milliseconds STEP_INTERVAL_MS{50};
-static constexpr std::chrono::milliseconds DRAIN_CHECK_MS{50};
-/// A forwarded wait is cut into parts, so that a lost reply is noticed.
+/// Delay before a request is tried again, possibly at another daemon. A takeover takes longer than
+/// several of these delays.
+static constexpr std::chrono::milliseconds RETRY_DELAY_MS{50};
+static constexpr std::chrono::milliseconds DRAIN_POLL_INTERVAL_MS{50};
+/// Longer waits are forwarded in parts, so that a lost reply is detected.
 static constexpr std::chrono::milliseconds MAX_FORWARD_WAIT_MS{2000};
 static constexpr std::chrono::milliseconds REPLY_MARGIN_MS{1000};
-/// Beyond the deadline the outcome must still be replicated and sent back.
+/// After the deadline the outcome still has to be replicated and sent back.
 static constexpr std::chrono::milliseconds OUTCOME_MARGIN_MS{2000};
-/// How long an unreachable home is tried for a request that the caller states to be new.
-static constexpr std::chrono::milliseconds UNREACHABLE_LIMIT_MS{1500};
+/// A request that the caller states to be new is answered "not run" this long before the wait ends
+/// if it could not be forwarded until then.
+static constexpr std::chrono::milliseconds UNREACHABLE_MARGIN_MS{1500};
 
 RequestRouter::RequestRouter(const Settings::Runtime &runtime)
     : m_runtime(runtime)
@@ -41,7 +43,7 @@
     m_ownership = registry.find<OwnershipService::OwnershipServiceImpl>(Names::OWNERSHIP);
     m_jobs = registry.find<JobService::JobServiceImpl>(Names::JOBS);
     EP_ASSERT(link && m_cluster && m_manifest && m_ownership && m_jobs,
-              return makeFailure(FailureCode::Internal, "router: missing service"));
+              return makeFailure(FailureCode::Internal, "request router: missing service"));
     m_port = link;
     link->addListener(this);
     return absl::OkStatus();
@@ -53,7 +55,8 @@
         done();
         return;
     }
-    m_runtime.timers.schedule(DRAIN_CHECK_MS, [this, done = std::move(done)] { drain(done); });
+    m_runtime.timers.schedule(DRAIN_POLL_INTERVAL_MS,
+                              [this, done = std::move(done)] { drain(done); });
 }
 
 bool RequestRouter::isLocal(const Jobs::Submission &submission) const
@@ -103,7 +106,7 @@
     Route route;
     route.operation = ForwardOperation::Status;
     route.id = id;
-    // Time for an answer from another failure domain, also when the caller does not want to wait.
+    // Leaves time for a reply from another failure domain even if the caller does not want to wait.
     route.waitEnd = m_runtime.timers.now() + std::max(wait, REPLY_MARGIN_MS);
     route.deadline = m_runtime.timers.now() + wait;
     route.callback = std::move(callback);
@@ -130,15 +133,15 @@
     m_lastRoute = m_lastRoute.next();
     const RouteId id = m_lastRoute;
     m_routes.emplace(id, std::move(route));
-    step(id);
+    advance(id);
 }
 
-void RequestRouter::stepLater(RouteId id)
+void RequestRouter::retryLater(RouteId id)
 {
-    m_runtime.timers.schedule(STEP_INTERVAL_MS, [this, id] { step(id); });
+    m_runtime.timers.schedule(RETRY_DELAY_MS, [this, id] { advance(id); });
 }
 
-void RequestRouter::step(RouteId id)
+void RequestRouter::advance(RouteId id)
 {
     const auto it = m_routes.find(id);
     if (it == m_routes.end())
@@ -146,29 +149,29 @@
     Route &route = it->second;
     const Base::TimePoint now = m_runtime.timers.now();
     const bool isUnreachable = route.isFirst && !route.wasForwarded && route.attempts > 0
-                               && now + UNREACHABLE_LIMIT_MS >= route.waitEnd;
+                               && now + UNREACHABLE_MARGIN_MS >= route.waitEnd;
     if (route.attempts > 0 && (now >= route.waitEnd || isUnreachable)) {
-        giveUp(id);
+        answerHomeUnreachable(id);
         return;
     }
     const std::uint32_t attempt = route.attempts++;
-    const bool isKnownHere = m_jobs->coordinator().store().find(route.id) != nullptr
-                             && m_jobs->coordinator().store().find(route.id)->isHeldHere();
-    if (isKnownHere || (route.operation == ForwardOperation::Submit && isLocal(route.submission))) {
-        askHere(id);
+    const bool isHeldHere = m_jobs->coordinator().store().find(route.id) != nullptr
+                            && m_jobs->coordinator().store().find(route.id)->isHeldHere();
+    if (isHeldHere || (route.operation == ForwardOperation::Submit && isLocal(route.submission))) {
+        handleLocally(id);
         return;
     }
     const Base::ShardId shard = Manifest::shardOf(*m_manifest->current(), route.id);
     if (shard.domain == m_runtime.settings.domain && m_ownership->leasedEpoch(shard.index)) {
-        askHere(id);
+        handleLocally(id);
         return;
     }
     const Base::DaemonId daemon = nextDaemon(shard, attempt);
     if (daemon.isEmpty()) {
-        stepLater(id);
+        retryLater(id);
         return;
     }
-    ask(id, daemon);
+    forwardTo(id, daemon);
 }
 
 Base::DaemonId RequestRouter::nextDaemon(const Base::ShardId &shard, std::uint32_t attempt) const
@@ -176,7 +179,7 @@
     const auto owner = m_cluster->ownerOf(shard);
     if (owner && m_port->isConnected(*owner))
         return *owner;
-    // Daemons of the own domain know no more of the owner than this one.
+    // The other daemons of this failure domain know no more about the owner than this one.
     if (shard.domain == m_runtime.settings.domain)
         return {};
     const auto daemons = m_cluster->reachableDaemons(shard.domain);
@@ -188,11 +191,11 @@
     return std::clamp<Base::Duration>(waitEnd - now, Base::Duration(0), MAX_FORWARD_WAIT_MS);
 }
 
-void RequestRouter::askHere(RouteId id)
+void RequestRouter::handleLocally(RouteId id)
 {
     Route &route = m_routes.at(id);
     const Base::Duration wait = route.waitEnd - m_runtime.timers.now();
-    const auto handler = [this, id](const Jobs::Reply &reply) { replied(id, reply); };
+    const auto handler = [this, id](const Jobs::Reply &reply) { localReplyReceived(id, reply); };
     Jobs::Coordinator &coordinator = m_jobs->coordinator();
     switch (route.operation) {
     case ForwardOperation::Submit: {
@@ -211,25 +214,25 @@
     }
 }
 
-static bool isAnotherOwnerWanted(FailureCode code)
+static bool shouldRetryAtOwner(FailureCode code)
 {
     return code == FailureCode::NotOwner || code == FailureCode::NoLease
            || code == FailureCode::Starting;
 }
 
-void RequestRouter::replied(RouteId id, const Jobs::Reply &reply)
+void RequestRouter::localReplyReceived(RouteId id, const Jobs::Reply &reply)
 {
     const auto it = m_routes.find(id);
     if (it == m_routes.end())
         return;
-    if (isAnotherOwnerWanted(Base::failureCode(reply.status))) {
-        stepLater(id);
+    if (shouldRetryAtOwner(Base::failureCode(reply.status))) {
+        retryLater(id);
         return;
     }
     answer(id, makeAnswer(it->second.id, reply));
 }
 
-void RequestRouter::ask(RouteId id, const Base::DaemonId &daemon)
+void RequestRouter::forwardTo(RouteId id, const Base::DaemonId &daemon)
 {
     Route &route = m_routes.at(id);
     const Base::TimePoint now = m_runtime.timers.now();
@@ -246,20 +249,21 @@
     forward.budgetMs = static_cast<std::uint64_t>(
         std::max<std::int64_t>(0, Base::toMilliseconds(route.deadline - now)));
     if (!m_port->send(daemon, forward)) {
-        stepLater(id);
+        retryLater(id);
         return;
     }
     route.wasForwarded = true;
-    route.awaited = daemon;
+    route.awaitedDaemon = daemon;
     route.correlation = correlation;
     m_correlations[correlation] = id;
     m_runtime.timers.schedule(wait + REPLY_MARGIN_MS, [this, id, correlation] {
         if (m_correlations.erase(correlation) > 0)
-            step(id);
+            advance(id);
     });
 }
 
-void RequestRouter::forwardReplied(const Wire::PeerIdentity &, const Wire::ForwardReply &reply)
+void RequestRouter::forwardReplyReceived(const Wire::PeerIdentity &,
+                                         const Wire::ForwardReply &reply)
 {
     const auto correlation = m_correlations.find(reply.correlation);
     if (correlation == m_correlations.end())
@@ -269,16 +273,16 @@
     const auto it = m_routes.find(id);
     if (it == m_routes.end())
         return;
-    it->second.awaited = {};
+    it->second.awaitedDaemon = {};
     if (!reply.redirect.empty()) {
         const Base::DaemonId owner(reply.redirect);
         if (owner != m_runtime.settings.daemon && m_port->isConnected(owner)
             && it->second.attempts % 4 != 0) {
             ++it->second.attempts;
-            ask(id, owner);
+            forwardTo(id, owner);
             return;
         }
-        stepLater(id);
+        retryLater(id);
         return;
     }
     const bool isPending = reply.status == 202;
@@ -286,7 +290,7 @@
         && m_runtime.timers.now() < (it->second.operation == ForwardOperation::Status
                                          ? it->second.deadline
                                          : it->second.waitEnd)) {
-        step(id);
+        advance(id);
         return;
     }
     HttpAnswer httpAnswer;
@@ -299,24 +303,24 @@
 {
     std::vector<RouteId> affected;
     for (auto &[id, route] : m_routes) {
-        if (route.awaited != peer.daemon)
+        if (route.awaitedDaemon != peer.daemon)
             continue;
-        route.awaited = {};
+        route.awaitedDaemon = {};
         m_correlations.erase(route.correlation);
         affected.push_back(id);
     }
     for (const RouteId it : affected)
-        stepLater(it);
+        retryLater(it);
 }
 
-void RequestRouter::giveUp(RouteId id)
+void RequestRouter::answerHomeUnreachable(RouteId id)
 {
     const Route &route = m_routes.at(id);
     Jobs::Reply reply;
     reply.view.failure = FailureCode::HomeUnreachable;
     if (route.isFirst && !route.wasForwarded) {
         reply.view.state = Jobs::RequestState::NotRun;
-        reply.view.message = "the request's home failure domain can't be reached; nothing was sent";
+        reply.view.message = "the request's home failure domain is unreachable; nothing was sent";
         reply.view.retryAfter = std::chrono::seconds(1);
     } else {
         reply.view.state = Jobs::RequestState::Pending;
@@ -339,12 +343,12 @@
                                         const Wire::Message &message)
 {
     if (const auto *forward = std::get_if<Wire::Forward>(&message))
-        serveForward(from, *forward);
+        forwardReceived(from, *forward);
     else if (const auto *reply = std::get_if<Wire::ForwardReply>(&message))
-        forwardReplied(from, *reply);
+        forwardReplyReceived(from, *reply);
 }
 
-void RequestRouter::serveForward(const Wire::PeerIdentity &from, const Wire::Forward &forward)
+void RequestRouter::forwardReceived(const Wire::PeerIdentity &from, const Wire::Forward &forward)
 {
     const Base::RequestId id{Base::TeamId(forward.team), Base::RequestKey(forward.key)};
     const auto handler = [this, id, peer = from.daemon,
@@ -354,12 +358,12 @@
         const HttpAnswer httpAnswer = makeAnswer(id, reply);
         message.status = static_cast<std::uint16_t>(httpAnswer.status);
         message.body = httpAnswer.body;
-        if (isAnotherOwnerWanted(Base::failureCode(reply.status))) {
+        if (shouldRetryAtOwner(Base::failureCode(reply.status))) {
             const auto owner =
                 m_manifest->current()
                     ? m_cluster->ownerOf(Manifest::shardOf(*m_manifest->current(), id))
                     : std::nullopt;
-            // The asking daemon tries again, there or elsewhere.
+            // The forwarding daemon retries, at the same daemon or at another one.
             message.redirect = owner.value_or(m_runtime.settings.daemon).value();
         }
         m_port->send(peer, message);
@@ -372,9 +376,10 @@
         const absl::Status status =
             parseSubmission(forward.body, m_runtime.settings.limits, parsed);
         if (!status.ok() || parsed.submission.id != id) {
-            handler(
-                {status.ok() ? makeFailure(FailureCode::BadRequest, "malformed forward") : status,
-                 {}});
+            handler({status.ok()
+                         ? makeFailure(FailureCode::BadRequest, "malformed forwarded request")
+                         : status,
+                     {}});
             return;
         }
         parsed.submission.deadline = std::chrono::milliseconds(forward.budgetMs);
@@ -390,7 +395,7 @@
     case ForwardOperation::Tickets:
         break;
     }
-    handler({makeFailure(FailureCode::BadRequest, "unknown operation"), {}});
+    handler({makeFailure(FailureCode::BadRequest, "unknown operation in a forwarded request"), {}});
 }
 
 } // namespace CallerGateway
