--- a/src/plugins/operatorgateway/operatorgateway.cpp
+++ b/src/plugins/operatorgateway/operatorgateway.cpp
@@ -1,4 +1,4 @@
-// Endpoints of the operators' port.
+// HTTP endpoints for operators.
 #include "operatorgateway.h"
 
 #include <base/failure.h>
@@ -18,10 +18,10 @@
 using Base::FailureCode;
 using nlohmann::json;
 
-/// A manifest of 2,800 upstreams has about 1 MB.
+/// A manifest with 2,800 upstreams takes about 1 MB.
 static constexpr std::uint32_t MAX_BODY_BYTES = 8U << 20;
 static constexpr std::uint32_t MAX_CONNECTIONS = 64;
-/// Bounds how long one query of the events holds up the loop.
+/// Limits how long an event query blocks the event loop.
 static constexpr std::size_t MAX_EVENTS_PER_REPLY = 10'000;
 
 OperatorGatewayService::OperatorGatewayService(const Settings::Runtime &runtime,
@@ -82,7 +82,7 @@
 void OperatorGatewayService::handle(const Http::Request &request, const Http::Respond &respond)
 {
     if (!isAuthorized(request)) {
-        respond(failureResponse(401, FailureCode::Unauthorized, "the operators' token is needed"));
+        respond(failureResponse(401, FailureCode::Unauthorized, "missing or wrong operator token"));
         return;
     }
     if (request.matches("GET", {"v1", "status"})) {
@@ -166,8 +166,8 @@
     EventLog::EventFilter filter;
     filter.limit = MAX_EVENTS_PER_REPLY;
     if (request.query.contains("team") != request.query.contains("key")) {
-        respond(
-            failureResponse(400, FailureCode::BadRequest, "parameters team and key go together"));
+        respond(failureResponse(400, FailureCode::BadRequest,
+                                "parameters team and key must be given together"));
         return;
     }
     if (request.query.contains("key")) {
@@ -212,10 +212,10 @@
                                                          {"code", Base::failureName(it.code)},
                                                          {"message", it.message}});
                            }
-                           const bool isRace = code == FailureCode::VersionMismatch;
-                           const bool isFaulty = code == FailureCode::InvalidManifest
-                                                 || code == FailureCode::PlacementChanged;
-                           respond(jsonResponse(isRace ? 409 : isFaulty ? 400 : 503, body));
+                           const bool isConflict = code == FailureCode::VersionMismatch;
+                           const bool isInvalid = code == FailureCode::InvalidManifest
+                                                  || code == FailureCode::PlacementChanged;
+                           respond(jsonResponse(isConflict ? 409 : isInvalid ? 400 : 503, body));
                        });
 }
 
--- a/src/plugins/operatorgateway/operatorgateway.h
+++ b/src/plugins/operatorgateway/operatorgateway.h
@@ -1,4 +1,4 @@
-// The operators' HTTP port.
+// HTTP server for operators.
 #pragma once
 
 #include <callergateway/callergateway.h>
@@ -17,11 +17,11 @@
 
 namespace OperatorGateway {
 
-/// Serves the operators' interface of docs/protocols.md. Every request needs the operators' token.
+/// Serves the operator interface of docs/protocols.md. Every request needs the operator token.
 class OperatorGatewayService : public Kernel::Service
 {
 public:
-    /// \a requestDrain begins a graceful shutdown of the daemon.
+    /// \a requestDrain starts a graceful shutdown of the daemon.
     OperatorGatewayService(const Settings::Runtime &runtime, std::function<void()> requestDrain);
 
     absl::Status start(const Kernel::ServiceRegistry &registry) override;
