--- a/tests/auto/callergateway/tst_requestcodec.cpp
+++ b/tests/auto/callergateway/tst_requestcodec.cpp
@@ -1,4 +1,4 @@
-// Tests of the callers' JSON.
+// Tests of parsing the JSON of submissions.
 #include <callergateway/requestcodec.h>
 #include <support/jsonmutation.h>
 
@@ -32,7 +32,7 @@
     return TestSupport::patched(VALID, patch);
 }
 
-// Guards against members that are dropped or mixed up.
+// Guards against members that are ignored or assigned to the wrong field.
 BOOST_AUTO_TEST_CASE(readsAllMembers)
 {
     ParsedSubmission parsed;
@@ -50,8 +50,8 @@
     BOOST_TEST(submission.nonRepeatable);
 }
 
-// Guards against faulty bodies that are accepted or refused with another code.
-BOOST_AUTO_TEST_CASE(refusesFaultyBodies)
+// Guards against invalid bodies that are accepted or rejected with the wrong code.
+BOOST_AUTO_TEST_CASE(rejectsInvalidBodies)
 {
     const std::string deepTask = std::string(1'000'000, '[') + std::string(1'000'000, ']');
     const std::string name201(201, 'a');
@@ -114,8 +114,8 @@
     BOOST_TEST((parse(body.dump(), parsed) == FailureCode::None));
 }
 
-// Guards against crashes and untyped failures: changes bodies in structure and in bytes.
-BOOST_AUTO_TEST_CASE(survivesRandomBodies)
+// Guards against crashes and unexpected failure codes on bodies mutated in structure and in bytes.
+BOOST_AUTO_TEST_CASE(handlesMutatedBodies)
 {
     constexpr int SEEDS = 20'000;
     int accepted = 0;
@@ -142,7 +142,7 @@
         for (const std::string &payload : submission.payloads)
             BOOST_TEST(json::accept(payload), "seed " << seed << ": " << payload);
     }
-    // Both outcomes must be frequent, or the changes test nothing.
+    // Both outcomes must be frequent, or the mutations test nothing.
     BOOST_TEST(accepted > SEEDS / 100);
     BOOST_TEST(accepted < SEEDS / 2);
 }
