--- a/src/app/endivepath/apiclient.cpp
+++ b/src/app/endivepath/apiclient.cpp
@@ -1,4 +1,4 @@
-// Interprets replies of daemons.
+// Converts HTTP replies of daemons to typed failures and exit codes.
 #include "apiclient.h"
 
 #include <base/failure.h>
@@ -13,8 +13,8 @@
 using Base::makeFailure;
 using nlohmann::json;
 
-/// What the operator can do about a refusal.
-static std::string cureOf(FailureCode code)
+/// Returns how the operator can resolve a failure with \a code, or an empty string.
+static std::string hintFor(FailureCode code)
 {
     switch (code) {
     case FailureCode::Unauthorized:
@@ -42,7 +42,7 @@
     }
 }
 
-static absl::Status refusal(const HttpReply &reply, const json &body)
+static absl::Status failureFromReply(const HttpReply &reply, const json &body)
 {
     const json failure = body.is_object() ? body.value("failure", json()) : json();
     std::string message = fmt::format("HTTP status {}", reply.status);
@@ -50,7 +50,7 @@
                                                                   : FailureCode::Internal;
     if (failure.is_object() && failure.contains("code") && failure["code"].is_string()) {
         code = Base::failureFromName(failure["code"].get_ref<const std::string &>());
-        // A code of a newer daemon is kept in the text.
+        // Codes that only newer daemons know are kept in the message.
         if (code == FailureCode::Internal)
             message += ' ' + failure["code"].get<std::string>();
         if (failure.contains("message") && failure["message"].is_string())
@@ -62,8 +62,8 @@
         for (const json &it : body["faults"])
             message += "; " + it.dump(-1, ' ', false, json::error_handler_t::replace);
     }
-    const std::string cure = cureOf(code);
-    return makeFailure(code, cure.empty() ? message : message + "; " + cure);
+    const std::string hint = hintFor(code);
+    return makeFailure(code, hint.empty() ? message : message + "; " + hint);
 }
 
 ApiClient::ApiClient(std::string token, std::chrono::milliseconds timeout)
@@ -85,22 +85,23 @@
         reply.body = json();
         if (success && !http.body.empty()) {
             reply.status = makeFailure(FailureCode::Internal,
-                                       fmt::format("{} answered with something else than JSON; "
+                                       fmt::format("{} returned a body that is not JSON; "
                                                    "check that the address is a daemon's",
                                                    request.url));
             reply.exitCode = ExitCode::Refused;
         }
     }
     if (!success) {
-        reply.status = refusal(http, reply.body);
+        reply.status = failureFromReply(http, reply.body);
         reply.exitCode = ExitCode::Refused;
     }
     reply.text = std::move(http.body);
     return reply;
 }
 
-ApiReply ApiClient::callAny(const std::string &method, const std::vector<std::string> &baseUrls,
-                            const std::string &path, const std::string &body)
+ApiReply ApiClient::callFirstReachable(const std::string &method,
+                                       const std::vector<std::string> &baseUrls,
+                                       const std::string &path, const std::string &body)
 {
     ApiReply reply;
     for (const std::string &it : baseUrls) {
--- a/src/app/endivepath/command.h
+++ b/src/app/endivepath/command.h
@@ -1,4 +1,4 @@
-// Description of the commands, from which the parser, the help text and the dispatch are made.
+// Command descriptions that the parser, the help text and the dispatch are generated from.
 #pragma once
 
 #include "invocation.h"
@@ -12,14 +12,14 @@
 struct Option
 {
     std::string name;
-    std::string placeholder; // of the value; empty for a switch
+    std::string placeholder; // of the value in the help text; empty for a flag without value
     std::string help;
 };
 
 struct Command
 {
     std::string name;      // one or two words
-    std::string arguments; // as in the help text
+    std::string arguments; // as shown in the help text
     std::string summary;
     std::size_t minArguments = 0;
     std::size_t maxArguments = 0;
@@ -27,7 +27,7 @@
     ExitCode (*run)(const Invocation &, Output &) = nullptr;
 };
 
-/// Commands that read files only.
+/// Commands that only read local files.
 std::vector<Command> fileCommands();
 /// Commands that call daemons at their operator ports.
 std::vector<Command> operatorCommands();
--- a/src/app/endivepath/commandline.cpp
+++ b/src/app/endivepath/commandline.cpp
@@ -5,7 +5,7 @@
 
 #include <base/failure.h>
 
-// cxxopts splits lists at this character; file names and URLs may hold commas.
+// cxxopts splits lists at this character; file names and URLs may contain commas.
 #define CXXOPTS_VECTOR_DELIMITER '\n'
 #include <cxxopts.hpp>
 #include <fmt/format.h>
@@ -39,7 +39,8 @@
     return text;
 }
 
-/// The command that \a arguments begin with, or null. Removes its words.
+/// Finds the command that \a arguments begin with and removes its words from them. Returns null
+/// if there is none.
 static const Command *takeCommand(const std::vector<Command> &commands,
                                   std::vector<std::string> &arguments)
 {
@@ -57,7 +58,7 @@
     return nullptr;
 }
 
-static cxxopts::Options parserOf(const Command &command)
+static cxxopts::Options createParser(const Command &command)
 {
     cxxopts::Options parser("endivepath " + command.name, command.summary + "\n");
     parser.custom_help(command.arguments.empty() ? "[OPTION...]"
@@ -75,7 +76,7 @@
     return parser;
 }
 
-static Invocation invocationOf(const Command &command, const cxxopts::ParseResult &parsed)
+static Invocation toInvocation(const Command &command, const cxxopts::ParseResult &parsed)
 {
     Invocation invocation{parsed.unmatched(), {}};
     for (const Option &it : command.options) {
@@ -94,7 +95,7 @@
     std::vector<const char *> argv{"endivepath"};
     for (const std::string &it : arguments)
         argv.push_back(it.c_str());
-    cxxopts::Options parser = parserOf(command);
+    cxxopts::Options parser = createParser(command);
     const std::string hint = fmt::format("; see 'endivepath {} --help'", command.name);
     try {
         const auto parsed = parser.parse(static_cast<int>(argv.size()), argv.data());
@@ -108,7 +109,7 @@
             return output.fail(ExitCode::Usage, makeFailure(FailureCode::BadRequest,
                                                             "--output must be text or json"));
         }
-        const Invocation invocation = invocationOf(command, parsed);
+        const Invocation invocation = toInvocation(command, parsed);
         const std::size_t n = invocation.arguments.size();
         if (n < command.minArguments || n > command.maxArguments) {
             return output.fail(
@@ -120,7 +121,7 @@
         }
         return command.run(invocation, output);
     } catch (const cxxopts::exceptions::exception &error) {
-        // The failure may lie in --output itself, so look at the raw arguments.
+        // Parsing may have failed before or at --output, so search the raw arguments.
         const auto it = std::find(arguments.begin(), arguments.end(), "json");
         Output output(out, err,
                       it != arguments.end() && it != arguments.begin()
--- a/src/app/endivepath/commandline.h
+++ b/src/app/endivepath/commandline.h
@@ -1,4 +1,4 @@
-// The operators' command line.
+// The command-line interface for operators.
 #pragma once
 
 #include <iosfwd>
--- a/src/app/endivepath/filecommands.cpp
+++ b/src/app/endivepath/filecommands.cpp
@@ -1,4 +1,4 @@
-// Commands that read files only: checks and comparison.
+// Commands that only read local files: validation and comparison.
 #include "command.h"
 
 #include <base/failure.h>
@@ -16,7 +16,7 @@
 using Base::makeFailure;
 using nlohmann::json;
 
-/// Reads and checks the manifest in the file \a path. Prints what is wrong and sets \a code then.
+/// Reads and validates the manifest in the file \a path. On failure, prints it and sets \a code.
 static std::optional<Manifest::Manifest> loadManifest(const std::string &path, Output &output,
                                                       ExitCode &code)
 {
@@ -51,12 +51,13 @@
         Settings::FaultList faults;
         Manifest::checkSuccessor(*current, *manifest, faults);
         if (!faults.isEmpty()) {
-            return output.fail(ExitCode::CheckFailed,
-                               makeFailure(faults.faults().front().code,
-                                           fmt::format("\"{}\" can't follow the current manifest; "
-                                                       "correct these members",
-                                                       path)),
-                               faults);
+            return output.fail(
+                ExitCode::CheckFailed,
+                makeFailure(faults.faults().front().code,
+                            fmt::format("\"{}\" is not a valid successor of the current manifest; "
+                                        "correct these members",
+                                        path)),
+                faults);
         }
     }
     output.print({{"valid", true}, {"revision", manifest->revision.value()}},
@@ -114,7 +115,7 @@
          "Check a manifest",
          1,
          1,
-         {{"current", "FILE", "Also check that the manifest may follow this one"}},
+         {{"current", "FILE", "Also check that the manifest is a valid successor of this one"}},
          checkManifest},
         {"manifest diff",
          "A B",
--- a/src/app/endivepath/httpclient.cpp
+++ b/src/app/endivepath/httpclient.cpp
@@ -1,4 +1,4 @@
-// One libcurl easy handle, reused so that connections are kept.
+// Uses one libcurl easy handle for all requests, so that connections are kept alive.
 #include "httpclient.h"
 
 #include "commandlineconstants.h"
@@ -37,7 +37,7 @@
 {
     auto *body = static_cast<std::string *>(user);
     const std::size_t n = size * count;
-    // Returning less than n makes libcurl end the transfer.
+    // libcurl aborts the transfer when less than n is returned.
     if (body->size() + n > Constants::MAX_REPLY_BYTES)
         return 0;
     body->append(data, n);
@@ -58,8 +58,9 @@
         return makeFailure(FailureCode::Timeout,
                            text + "; repeat the command, with a larger --timeout-ms if it is slow");
     }
-    return makeFailure(FailureCode::FateUnknown,
-                       text + "; it may have taken effect, so look at the state before repeating");
+    return makeFailure(
+        FailureCode::FateUnknown,
+        text + "; the request may have taken effect; check the state before repeating it");
 }
 
 absl::Status HttpClient::send(const HttpRequest &request, HttpReply &reply)
@@ -78,7 +79,7 @@
     curl_easy_setopt(handle, CURLOPT_HTTPHEADER, headers);
     curl_easy_setopt(handle, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(handle, CURLOPT_PROTOCOLS_STR, "http");
-    // The token must reach the named daemon only, not a proxy from the environment.
+    // Ignores proxies from the environment: only the given daemon may receive the token.
     curl_easy_setopt(handle, CURLOPT_PROXY, "");
     curl_easy_setopt(handle, CURLOPT_TIMEOUT_MS, static_cast<long>(request.timeout.count()));
     curl_easy_setopt(handle, CURLOPT_WRITEFUNCTION, appendBody);
--- a/src/app/endivepath/httpclient.h
+++ b/src/app/endivepath/httpclient.h
@@ -1,4 +1,4 @@
-// A small blocking HTTP client on libcurl, for a process that does one thing at a time.
+// Blocking HTTP client based on libcurl, for a process that sends one request at a time.
 #pragma once
 
 #include <absl/status/status.h>
@@ -32,9 +32,9 @@
     HttpClient(const HttpClient &) = delete;
     HttpClient &operator=(const HttpClient &) = delete;
 
-    /// Sends \a request and waits for the whole reply, of any HTTP status. Errors: peerUnreachable
-    /// (not sent), timeout (no whole reply to a GET), fateUnknown (no whole reply to a request that
-    /// may have taken effect).
+    /// Sends \a request and waits for the complete reply, whatever its HTTP status. Errors:
+    /// peerUnreachable (not sent), timeout (no complete reply to a GET), fateUnknown (no complete
+    /// reply to a request that may have taken effect).
     absl::Status send(const HttpRequest &request, HttpReply &reply);
 
 private:
--- a/src/app/endivepath/invocation.cpp
+++ b/src/app/endivepath/invocation.cpp
@@ -25,8 +25,8 @@
     return it == options.end() || it->second.empty() ? std::string() : it->second.back();
 }
 
-absl::Status parseCount(std::string_view text, std::string_view what, std::uint64_t min,
-                        std::uint64_t max, std::uint64_t &out)
+absl::Status parseUnsigned(std::string_view text, std::string_view what, std::uint64_t min,
+                           std::uint64_t max, std::uint64_t &out)
 {
     std::uint64_t n = 0;
     const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), n);
@@ -40,17 +40,17 @@
     return absl::OkStatus();
 }
 
-absl::Status Invocation::readCount(std::string_view option, std::uint64_t min, std::uint64_t max,
-                                   std::uint64_t &out) const
+absl::Status Invocation::readUnsigned(std::string_view option, std::uint64_t min, std::uint64_t max,
+                                      std::uint64_t &out) const
 {
     if (!has(option))
         return absl::OkStatus();
-    return parseCount(value(option), fmt::format("--{}", option), min, max, out);
+    return parseUnsigned(value(option), fmt::format("--{}", option), min, max, out);
 }
 
 absl::Status readFile(const std::string &path, std::string &out)
 {
-    // Opening a folder succeeds and reading it then yields nothing.
+    // Opening a directory as a file succeeds, but reads as empty.
     std::error_code ec;
     std::ifstream file(path, std::ios::binary);
     if (!file || std::filesystem::is_directory(path, ec)) {
@@ -84,7 +84,7 @@
     const auto isControl = [](unsigned char c) { return c < 0x20 || c == 0x7f; };
     if (std::any_of(token.begin(), token.end(), isControl)) {
         return makeFailure(FailureCode::Unauthorized,
-                           "the operator token has control characters; put it on one line");
+                           "the operator token contains control characters; put it on one line");
     }
     out = std::move(token);
     return absl::OkStatus();
--- a/src/app/endivepath/jobcommands.cpp
+++ b/src/app/endivepath/jobcommands.cpp
@@ -15,7 +15,7 @@
 using Base::makeFailure;
 using nlohmann::json;
 
-/// What all job commands need.
+/// Options that all job commands share.
 struct JobTarget
 {
     std::vector<std::string> callers;
@@ -48,13 +48,13 @@
     target.team = invocation.value("team");
     target.key = invocation.value("key");
     const absl::Status status =
-        invocation.readCount("wait-ms", 0, Constants::MAX_TIMEOUT_MS, target.waitMs);
+        invocation.readUnsigned("wait-ms", 0, Constants::MAX_TIMEOUT_MS, target.waitMs);
     if (!status.ok())
         return status;
-    return invocation.readCount("timeout-ms", 1, Constants::MAX_TIMEOUT_MS, target.timeoutMs);
+    return invocation.readUnsigned("timeout-ms", 1, Constants::MAX_TIMEOUT_MS, target.timeoutMs);
 }
 
-static ExitCode codeOfState(const json &body)
+static ExitCode exitCodeForState(const json &body)
 {
     const json state = body.value("state", json());
     if (state == "complete")
@@ -63,7 +63,7 @@
         return ExitCode::CheckFailed;
     if (state == "notRun")
         return ExitCode::Refused;
-    // Pending is an answer, unless the daemon can't reach the request's home.
+    // A pending request counts as success, unless the daemon can't reach the request's home.
     const json failure = body.value("failure", json());
     const bool unknown = failure.is_object() && failure.value("code", json()) == "homeUnreachable";
     return unknown ? ExitCode::Unreachable : ExitCode::Ok;
@@ -72,13 +72,13 @@
 static ExitCode callAndPrint(const JobTarget &target, Output &output, const std::string &method,
                              const std::string &path, const std::string &body = {})
 {
-    // The daemon may hold the answer back for waitMs.
+    // The daemon may delay its reply by up to waitMs.
     ApiClient client({}, std::chrono::milliseconds(target.waitMs + target.timeoutMs));
-    const ApiReply reply = client.callAny(method, target.callers, path, body);
-    // An outcome is an answer whatever the HTTP status; other replies are refusals.
+    const ApiReply reply = client.callFirstReachable(method, target.callers, path, body);
+    // A reply with a state is printed whatever its HTTP status; others fail on error statuses.
     if (reply.body.is_object() && reply.body.contains("state")) {
         output.printValue(reply.body);
-        return codeOfState(reply.body);
+        return exitCodeForState(reply.body);
     }
     if (!reply.status.ok())
         return output.fail(reply.exitCode, reply.status);
@@ -95,7 +95,7 @@
         status = readFile(invocation.arguments[0], text);
     std::uint64_t deadlineMs = 0;
     if (status.ok())
-        status = invocation.readCount("deadline-ms", 1, Constants::MAX_TIMEOUT_MS, deadlineMs);
+        status = invocation.readUnsigned("deadline-ms", 1, Constants::MAX_TIMEOUT_MS, deadlineMs);
     if (status.ok() && invocation.value("kind").empty())
         status = makeFailure(FailureCode::BadRequest, "--kind is required");
     if (!status.ok())
@@ -104,7 +104,7 @@
     if (!tasks.is_array() || tasks.empty()) {
         return output.fail(ExitCode::CheckFailed,
                            makeFailure(FailureCode::BadRequest,
-                                       fmt::format("\"{}\" must hold a JSON array with one item "
+                                       fmt::format("\"{}\" must contain a JSON array with one item "
                                                    "for each task",
                                                    invocation.arguments[0])));
     }
@@ -138,31 +138,32 @@
     return callAndPrint(target, output, "POST", target.path() + "/cancel");
 }
 
-/// \a options after those that all job commands have.
-static std::vector<Option> withCommon(std::vector<Option> options)
+/// Returns the options of all job commands, followed by \a options.
+static std::vector<Option> withCommonOptions(std::vector<Option> options)
 {
     std::vector<Option> result{
         {"caller", "URL", "Caller port of a daemon, http://IPv4:port; may be repeated"},
         {"team", "T", "Team of the request"},
         {"key", "K", "Idempotency key of the request"},
-        {"timeout-ms", "N", "Longest wait for an answer in ms, after --wait-ms (default 5000)"}};
+        {"timeout-ms", "N", "Reply timeout in ms, added to --wait-ms (default 5000)"}};
     result.insert(result.end(), options.begin(), options.end());
     return result;
 }
 
 std::vector<Command> jobCommands()
 {
-    const Option wait{"wait-ms", "N", "Let the daemon wait this long for the outcome (default 0)"};
+    const Option wait{"wait-ms", "N", "Let the daemon wait up to N ms for the outcome (default 0)"};
     return {
         {"job submit", "FILE", "Submit a request with the tasks in a file", 1, 1,
-         withCommon({{"kind", "KIND", "Request kind"},
-                     wait,
-                     {"deadline-ms", "N", "Tighter deadline than the kind's"},
-                     {"first-submission", "", "States that this key was never submitted before"}}),
+         withCommonOptions(
+             {{"kind", "KIND", "Request kind"},
+              wait,
+              {"deadline-ms", "N", "Deadline in ms, shorter than the kind's"},
+              {"first-submission", "", "Confirm that this key was never submitted before"}}),
          submitJob},
-        {"job status", "", "Print the state or outcome of a request", 0, 0, withCommon({wait}),
-         showJob},
-        {"job cancel", "", "Cancel a request", 0, 0, withCommon({}), cancelJob},
+        {"job status", "", "Print the state or outcome of a request", 0, 0,
+         withCommonOptions({wait}), showJob},
+        {"job cancel", "", "Cancel a request", 0, 0, withCommonOptions({}), cancelJob},
     };
 }
 
--- a/src/app/endivepath/main.cpp
+++ b/src/app/endivepath/main.cpp
@@ -1,4 +1,4 @@
-// Entry point of the operators' command line.
+// Entry point of the command-line interface for operators.
 #include "commandline.h"
 
 #include <iostream>
--- a/src/app/endivepath/operatorcommands.cpp
+++ b/src/app/endivepath/operatorcommands.cpp
@@ -22,7 +22,7 @@
 using Base::makeFailure;
 using nlohmann::json;
 
-/// The daemons and credentials of an invocation.
+/// The daemons to call, and a client with the operator token.
 struct Target
 {
     std::vector<std::string> daemons;
@@ -47,7 +47,7 @@
     }
     std::uint64_t timeoutMs = Constants::DEFAULT_TIMEOUT_MS;
     absl::Status status =
-        invocation.readCount("timeout-ms", 1, Constants::MAX_TIMEOUT_MS, timeoutMs);
+        invocation.readUnsigned("timeout-ms", 1, Constants::MAX_TIMEOUT_MS, timeoutMs);
     std::string token;
     if (status.ok())
         status = readToken(invocation, token);
@@ -56,7 +56,8 @@
     return status;
 }
 
-/// Calls every daemon. Returns an array of {"address", "reply" or "failure"} and the worst code.
+/// Calls every daemon. Returns an array of {"address", "reply" or "failure"} and sets \a code to
+/// the worst exit code.
 static json callAll(const Target &target, const std::string &method, const std::string &path,
                     const std::string &body, ExitCode &code)
 {
@@ -72,9 +73,10 @@
     return results;
 }
 
-/// Calls every daemon and prints the answers.
-static ExitCode runAll(const Invocation &invocation, Output &output, const std::string &method,
-                       const std::string &path, const std::string &body = {})
+/// Calls every daemon and prints the replies.
+static ExitCode callAllAndPrint(const Invocation &invocation, Output &output,
+                                const std::string &method, const std::string &path,
+                                const std::string &body = {})
 {
     Target target;
     if (const absl::Status status = openTarget(invocation, target); !status.ok())
@@ -102,16 +104,17 @@
     Settings::FaultList faults;
     const auto manifest = Manifest::parseManifest(text, faults);
     if (!manifest) {
-        return output.fail(ExitCode::CheckFailed,
-                           makeFailure(FailureCode::InvalidManifest,
-                                       "the manifest was not sent; correct these members"),
-                           faults);
+        return output.fail(
+            ExitCode::CheckFailed,
+            makeFailure(FailureCode::InvalidManifest,
+                        "the manifest is invalid and was not sent; correct these members"),
+            faults);
     }
     std::uint64_t parent = manifest->revision.value() - 1;
-    status = invocation.readCount("parent", 0, manifest->revision.value() - 1, parent);
+    status = invocation.readUnsigned("parent", 0, manifest->revision.value() - 1, parent);
     if (!status.ok())
         return output.fail(ExitCode::Usage, status);
-    const ApiReply reply = target.client->callAny(
+    const ApiReply reply = target.client->callFirstReachable(
         "POST", target.daemons, fmt::format("/v1/manifest?parent={}", parent), text);
     if (!reply.status.ok())
         return output.fail(reply.exitCode, reply.status);
@@ -127,10 +130,10 @@
     Target target;
     if (const absl::Status status = openTarget(invocation, target); !status.ok())
         return output.fail(ExitCode::Usage, status);
-    const ApiReply reply = target.client->callAny("GET", target.daemons, "/v1/manifest");
+    const ApiReply reply = target.client->callFirstReachable("GET", target.daemons, "/v1/manifest");
     if (!reply.status.ok())
         return output.fail(reply.exitCode, reply.status);
-    // In both formats the output can be edited and submitted; text keeps the comments.
+    // Both formats can be edited and submitted again; text output keeps the comments.
     output.print(reply.body, reply.text.ends_with('\n') ? reply.text : reply.text + '\n');
     return ExitCode::Ok;
 }
@@ -162,8 +165,8 @@
     }
     if (revisions.size() > 1) {
         code = worse(code, ExitCode::CheckFailed);
-        text += "the daemons hold different revisions; repeat the command, and look at the log of "
-                "a daemon that stays behind\n";
+        text += "the daemons hold different revisions; repeat the command, and check the log of "
+                "a daemon whose revision stays older\n";
     }
     output.print(
         {{"inAgreement", revisions.size() == 1 && code == ExitCode::Ok}, {"daemons", daemons}},
@@ -173,25 +176,26 @@
 
 static ExitCode showStatus(const Invocation &invocation, Output &output)
 {
-    return runAll(invocation, output, "GET", "/v1/status");
+    return callAllAndPrint(invocation, output, "GET", "/v1/status");
 }
 
 static ExitCode drain(const Invocation &invocation, Output &output)
 {
     const auto it = invocation.options.find("daemon");
     if (it != invocation.options.end() && it->second.size() > 1) {
-        return output.fail(ExitCode::Usage,
-                           makeFailure(FailureCode::BadRequest,
-                                       "drain takes one --daemon; drain daemons one at a time so "
-                                       "that their shards can be handed over"));
+        return output.fail(
+            ExitCode::Usage,
+            makeFailure(FailureCode::BadRequest,
+                        "drain accepts only one --daemon; drain daemons one at a time so "
+                        "that their shards can be handed over"));
     }
-    return runAll(invocation, output, "POST", "/v1/drain");
+    return callAllAndPrint(invocation, output, "POST", "/v1/drain");
 }
 
 static ExitCode recoverShard(const Invocation &invocation, Output &output)
 {
     std::uint64_t shard = 0;
-    if (const absl::Status status = parseCount(invocation.arguments[1], "SHARD", 0, 1023, shard);
+    if (const absl::Status status = parseUnsigned(invocation.arguments[1], "SHARD", 0, 1023, shard);
         !status.ok()) {
         return output.fail(ExitCode::Usage, status);
     }
@@ -199,7 +203,7 @@
         return output.fail(ExitCode::Usage,
                            makeFailure(FailureCode::BadRequest,
                                        "recovery while a listed replica still runs can start tasks "
-                                       "twice; make sure that their hosts are down, then add "
+                                       "twice; make sure that all their hosts are down, then add "
                                        "--confirm-hosts-down"));
     }
     Target target;
@@ -207,7 +211,7 @@
         return output.fail(ExitCode::Usage, status);
     const std::string path =
         fmt::format("/v1/shards/{}/{}/recover", percentEncoded(invocation.arguments[0]), shard);
-    const ApiReply reply = target.client->callAny("POST", target.daemons, path);
+    const ApiReply reply = target.client->callFirstReachable("POST", target.daemons, path);
     if (!reply.status.ok())
         return output.fail(reply.exitCode, reply.status);
     output.printValue(reply.body.is_null() ? json{{"recovered", true}} : reply.body);
@@ -223,14 +227,15 @@
             ExitCode::Usage,
             makeFailure(FailureCode::BadRequest, "LEVEL must be debug, info, warning or error"));
     }
-    return runAll(invocation, output, "PUT", "/v1/log-level", json{{"level", name}}.dump());
+    return callAllAndPrint(invocation, output, "PUT", "/v1/log-level",
+                           json{{"level", name}}.dump());
 }
 
 static ExitCode showTimeline(const Invocation &invocation, Output &output)
 {
     if (invocation.has("team") != invocation.has("key")) {
-        return output.fail(ExitCode::Usage,
-                           makeFailure(FailureCode::BadRequest, "--team and --key go together"));
+        return output.fail(ExitCode::Usage, makeFailure(FailureCode::BadRequest,
+                                                        "--team and --key must be given together"));
     }
     const std::string format = invocation.has("format") ? invocation.value("format") : "text";
     if (format != "text" && format != "svg") {
@@ -241,7 +246,7 @@
     if (const absl::Status status = openTarget(invocation, target); !status.ok())
         return output.fail(ExitCode::Usage, status);
     std::uint64_t sinceMs = 0;
-    if (const absl::Status status = invocation.readCount("since-ms", 0, UINT64_MAX, sinceMs);
+    if (const absl::Status status = invocation.readUnsigned("since-ms", 0, UINT64_MAX, sinceMs);
         !status.ok()) {
         return output.fail(ExitCode::Usage, status);
     }
@@ -268,13 +273,13 @@
     return code;
 }
 
-/// \a options after those that all operator commands have.
-static std::vector<Option> withCommon(std::vector<Option> options)
+/// Returns the options of all operator commands, followed by \a options.
+static std::vector<Option> withCommonOptions(std::vector<Option> options)
 {
     std::vector<Option> result{
         {"daemon", "URL", "Operator port of a daemon, http://IPv4:port; may be repeated"},
         {"token-file", "FILE", "File with the operator token; default is EP_OPERATOR_TOKEN"},
-        {"timeout-ms", "N", "Longest wait for an answer in ms (default 5000)"}};
+        {"timeout-ms", "N", "Reply timeout in ms (default 5000)"}};
     result.insert(result.end(), options.begin(), options.end());
     return result;
 }
@@ -283,24 +288,28 @@
 {
     return {
         {"manifest submit", "FILE", "Submit a manifest to one of the daemons", 1, 1,
-         withCommon({{"parent", "N", "Revision it is based on (default: its revision - 1)"}}),
+         withCommonOptions(
+             {{"parent", "N", "Revision that it is based on (default: the file's revision - 1)"}}),
          submitManifest},
-        {"manifest show", "", "Print the manifest in force", 0, 0, withCommon({}), showManifest},
-        {"manifest status", "", "Compare the revisions of all given daemons", 0, 0, withCommon({}),
-         showManifestStatus},
-        {"status", "", "Print the state of all given daemons", 0, 0, withCommon({}), showStatus},
-        {"drain", "", "Shut a daemon down gracefully", 0, 0, withCommon({}), drain},
-        {"shard recover", "DOMAIN SHARD", "Give up a shard's lost records", 2, 2,
-         withCommon({{"confirm-hosts-down", "", "States that all its replicas' hosts are down"}}),
+        {"manifest show", "", "Print the manifest in force", 0, 0, withCommonOptions({}),
+         showManifest},
+        {"manifest status", "", "Compare the revisions of all given daemons", 0, 0,
+         withCommonOptions({}), showManifestStatus},
+        {"status", "", "Print the state of all given daemons", 0, 0, withCommonOptions({}),
+         showStatus},
+        {"drain", "", "Shut a daemon down gracefully", 0, 0, withCommonOptions({}), drain},
+        {"shard recover", "DOMAIN SHARD", "Recover a shard without its lost records", 2, 2,
+         withCommonOptions(
+             {{"confirm-hosts-down", "", "Confirm that the hosts of all its replicas are down"}}),
          recoverShard},
-        {"log-level", "LEVEL", "Set the log level of all given daemons", 1, 1, withCommon({}),
-         setLogLevel},
+        {"log-level", "LEVEL", "Set the log level of all given daemons", 1, 1,
+         withCommonOptions({}), setLogLevel},
         {"timeline", "", "Print recorded events of all given daemons", 0, 0,
-         withCommon({{"team", "T", "Only the request of this team and --key"},
-                     {"key", "K", "Only the request with this key"},
-                     {"upstream", "U", "Only events of this upstream"},
-                     {"since-ms", "N", "Only events since this time in ms"},
-                     {"format", "FORMAT", "text or svg (default text)"}}),
+         withCommonOptions({{"team", "T", "Only the request of this team and --key"},
+                            {"key", "K", "Only the request with this key"},
+                            {"upstream", "U", "Only events of this upstream"},
+                            {"since-ms", "N", "Only events since this time in ms"},
+                            {"format", "FORMAT", "text or svg (default text)"}}),
          showTimeline},
     };
 }
--- a/src/app/endivepath/output.h
+++ b/src/app/endivepath/output.h
@@ -1,4 +1,4 @@
-// What a command prints: one JSON document, or text for people.
+// Output of a command: one JSON document, or human-readable text.
 #pragma once
 
 #include <absl/status/status.h>
@@ -13,16 +13,16 @@
 /// Exit codes of the process; documented in docs/commandline.md.
 enum class ExitCode {
     Ok = 0,
-    CheckFailed = 1, ///< A file is faulty, a job failed or daemons disagree.
+    CheckFailed = 1, ///< A file is invalid, a job failed or the daemons disagree.
     Usage = 2,       ///< The command line or an input file can't be used.
-    Unreachable = 3, ///< No answer, so the result is not known or there is none.
-    Refused = 4      ///< A daemon answered and refused.
+    Unreachable = 3, ///< No reply, so the result is unknown or there is none.
+    Refused = 4      ///< A daemon replied and refused the request.
 };
 
 /// The worse of two results, in the order Ok, CheckFailed, Refused, Unreachable, Usage.
 ExitCode worse(ExitCode a, ExitCode b);
 
-/// {"code", "message"} of a failure, as daemons write it.
+/// Converts \a failure to {"code", "message"}, as daemons do.
 nlohmann::json failureToJson(const absl::Status &failure);
 
 /// One line "path value" for each leaf of \a value, each after \a prefix.
--- a/tests/auto/commandline/tst_commandline.cpp
+++ b/tests/auto/commandline/tst_commandline.cpp
@@ -31,7 +31,7 @@
     return {code, out.str(), err.str()};
 }
 
-/// Answers one connection with a fixed reply, or closes it without one, and keeps the request.
+/// Accepts one connection, records the request, and sends a fixed reply or closes without one.
 class OneReplyServer
 {
 public:
@@ -87,17 +87,18 @@
     ~TokenFixture() { unsetenv("EP_OPERATOR_TOKEN"); }
 };
 
-struct FileCase
+struct LocalCase
 {
     std::vector<std::string> arguments;
     int code;
     const char *text; // a part of the output or the failure
 };
 
-// Guards against wrong exit codes and failures without a cure in commands that need no daemon.
+// Guards against wrong exit codes, and failures that do not tell the remedy, where no daemon is
+// called.
 BOOST_AUTO_TEST_CASE(localCommandsHaveDocumentedExitCodes)
 {
-    const std::vector<FileCase> cases{
+    const std::vector<LocalCase> cases{
         {{}, 2, "manifest check"},
         {{"--help"}, 0, "manifest check"},
         {{"manifest", "--help"}, 0, "manifest diff"},
@@ -125,7 +126,7 @@
         {{"timeline", "--team", "t"}, 2, "--team and --key"},
         {{"job", "status", "--team", "t", "--key", "k"}, 2, "--caller"},
     };
-    for (const FileCase &it : cases) {
+    for (const LocalCase &it : cases) {
         const Run result = run(it.arguments);
         std::string name;
         for (const std::string &argument : it.arguments)
@@ -162,8 +163,8 @@
     const char *text; // a part of the output or the failure
 };
 
-// Guards against requests that daemons don't understand and against answers read wrongly.
-BOOST_FIXTURE_TEST_CASE(daemonCommandsSpeakTheInterface, TokenFixture)
+// Guards against requests that daemons don't accept and against misinterpreted replies.
+BOOST_FIXTURE_TEST_CASE(daemonCommandsSendExpectedRequests, TokenFixture)
 {
     const std::vector<DaemonCase> cases{
         {{"manifest", "submit", MANIFEST},
@@ -234,8 +235,8 @@
     }
 }
 
-// Guards against an outcome that a script takes for another one.
-BOOST_AUTO_TEST_CASE(jobOutcomesHaveExitCodes)
+// Guards against exit codes from which a script would conclude a different job outcome.
+BOOST_AUTO_TEST_CASE(jobOutcomesMapToExitCodes)
 {
     const std::vector<DaemonCase> cases{
         {{"status"}, 200, R"({"state":"complete","results":[1]})", "", 0, "complete"},
@@ -260,8 +261,8 @@
     }
 }
 
-// Guards against a submission that loses a member, and against a lost answer taken for a refusal.
-BOOST_AUTO_TEST_CASE(submittedJobHoldsAllMembers)
+// Guards against a submission without some member, and a lost reply reported as a refusal.
+BOOST_AUTO_TEST_CASE(jobSubmissionSendsAllMembers)
 {
     const auto path = std::filesystem::temp_directory_path()
                       / ("ep-tasks-" + std::to_string(std::random_device()()) + ".json");
@@ -289,31 +290,30 @@
                         {"firstSubmission", true},
                         {"tasks", {{{"cask", 1}}, {{"cask", 2}}}}};
     BOOST_TEST((body == expected), body.dump());
-    OneReplyServer breaking(0, "");
-    all.back() = breaking.url();
+    OneReplyServer closing(0, "");
+    all.back() = closing.url();
     BOOST_TEST(run(all).code == 3);
-    breaking.request();
+    closing.request();
     std::filesystem::remove(path);
 }
 
 // Guards against a second submission when the first one may have arrived, and against giving up
 // while another daemon can be reached.
-BOOST_FIXTURE_TEST_CASE(onlyUnsentRequestsGoToTheNextDaemon, TokenFixture)
+BOOST_FIXTURE_TEST_CASE(onlyUnsentRequestsAreSentToTheNextDaemon, TokenFixture)
 {
     // Nothing listens on port 1 (tcpmux), so connections are refused.
     const std::string refusing = "http://127.0.0.1:1";
-    OneReplyServer answering(200, "{}");
+    OneReplyServer replying(200, "{}");
     BOOST_TEST(
-        run({"manifest", "submit", MANIFEST, "--daemon", refusing, "--daemon", answering.url()})
-            .code
+        run({"manifest", "submit", MANIFEST, "--daemon", refusing, "--daemon", replying.url()}).code
         == 0);
-    answering.request();
-    OneReplyServer breaking(0, "");
+    replying.request();
+    OneReplyServer closing(0, "");
     const Run result =
-        run({"manifest", "submit", MANIFEST, "--daemon", breaking.url(), "--daemon", refusing});
+        run({"manifest", "submit", MANIFEST, "--daemon", closing.url(), "--daemon", refusing});
     BOOST_TEST(result.code == 3);
     BOOST_TEST(result.err.find("fateUnknown") != std::string::npos, result.err);
-    breaking.request();
+    closing.request();
     const Run unreachable = run({"status", "--daemon", refusing, "--output", "json"});
     BOOST_TEST(unreachable.code == 3);
     BOOST_TEST((json::parse(unreachable.out)[0]["failure"]["code"] == "peerUnreachable"));
