--- a/standins/platform/main.cpp
+++ b/standins/platform/main.cpp
@@ -1,4 +1,4 @@
-// Stand-in for the platform's table, object store and membership list. Not shipped.
+// Stand-in for the platform's table, object store and host list. Not shipped.
 #include "platformserver.h"
 
 #include <base/asiotimers.h>
--- a/standins/platform/platformserver.cpp
+++ b/standins/platform/platformserver.cpp
@@ -96,8 +96,8 @@
     const auto version =
         m_table.compareAndSet(joinPath(request, 2), body["value"],
                               body.value("expectedVersion", std::uint64_t(0)), body["transaction"]);
-    if (m_repliesToLose > 0) {
-        --m_repliesToLose;
+    if (m_responsesToDrop > 0) {
+        --m_responsesToDrop;
         return;
     }
     if (!version) {
@@ -120,8 +120,8 @@
 void PlatformServer::writeObject(const Http::Request &request, const Http::Respond &respond)
 {
     m_objects.emplace(joinPath(request, 2), request.body);
-    if (m_repliesToLose > 0) {
-        --m_repliesToLose;
+    if (m_responsesToDrop > 0) {
+        --m_responsesToDrop;
         return;
     }
     respond(jsonResponse(200, json::object()));
@@ -161,7 +161,7 @@
     m_isSilent = body.value("silent", m_isSilent);
     m_delay = std::chrono::milliseconds(body.value("delayMs", m_delay.count()));
     m_hostListLag = std::chrono::milliseconds(body.value("hostListLagMs", m_hostListLag.count()));
-    m_repliesToLose = body.value("loseReplies", m_repliesToLose);
+    m_responsesToDrop = body.value("loseReplies", m_responsesToDrop);
     respond(jsonResponse(200, json::object()));
 }
 
--- a/standins/platform/platformserver.h
+++ b/standins/platform/platformserver.h
@@ -1,4 +1,4 @@
-// HTTP face of the platform stand-in, with switches for its faults.
+// HTTP interface of the platform stand-in, with fault injection.
 #pragma once
 
 #include "tablestore.h"
@@ -13,7 +13,7 @@
 
 namespace PlatformStandin {
 
-/// Serves table, objects and hosts as described in docs/protocols.md. POST /control sets faults.
+/// Serves table, objects and hosts as described in docs/protocols.md. POST /control injects faults.
 class PlatformServer
 {
 public:
@@ -47,12 +47,12 @@
     std::deque<HostChange> m_hostChanges;       // not yet visible, in order
     std::uint64_t m_requestCount = 0;
 
-    // Faults.
-    bool m_isDown = false;                // every request is refused with 503
-    bool m_isSilent = false;              // every request stays unanswered
-    std::chrono::milliseconds m_delay{0}; // before a request takes effect
+    // Injected faults.
+    bool m_isDown = false;                // every request gets status 503
+    bool m_isSilent = false;              // no request gets a response
+    std::chrono::milliseconds m_delay{0}; // before a request is processed
     std::chrono::milliseconds m_hostListLag{0};
-    std::uint32_t m_repliesToLose = 0; // the next writes take effect and stay unanswered
+    std::uint32_t m_responsesToDrop = 0; // the next writes take effect without a response
 };
 
 } // namespace PlatformStandin
--- a/standins/platform/tablestore.h
+++ b/standins/platform/tablestore.h
@@ -1,4 +1,4 @@
-// The data of the platform stand-in: rows with versions, immutable objects and a host list.
+// The table of the platform stand-in: versioned rows.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
     std::string transaction;
 };
 
-/// Compare-and-set rows. A write that is repeated under its transaction id has no further effect.
+/// Rows with compare-and-set. Repeating a write under its transaction id has no effect.
 class TableStore
 {
 public:
@@ -29,7 +29,7 @@
 
 private:
     std::map<std::string, StoredRow> m_rows;
-    std::map<std::string, std::uint64_t> m_transactions; // id to the version it wrote
+    std::map<std::string, std::uint64_t> m_transactions; // version written, by transaction id
     std::uint64_t m_writeCount = 0;
 };
 
--- a/standins/workers/workerpool.cpp
+++ b/standins/workers/executor.cpp
@@ -1,5 +1,5 @@
 // Behaviour of one executor.
-#include "workerpool.h"
+#include "executor.h"
 
 #include <utility>
 
@@ -33,15 +33,15 @@
     , m_isFencing(fencing)
 {}
 
-StartVerdict Executor::start(const std::string &name, const json &order,
-                             std::function<void()> ended)
+StartResult Executor::start(const std::string &name, const json &startRequest,
+                            std::function<void()> onEnded)
 {
     ++counts.start;
-    const std::string shard = order.value("shard", "");
-    const std::uint64_t epoch = order.value("epoch", std::uint64_t(0));
+    const std::string shard = startRequest.value("shard", "");
+    const std::uint64_t epoch = startRequest.value("epoch", std::uint64_t(0));
     const auto refuse = [this](const char *reason) {
         ++counts.refusedStart;
-        return StartVerdict{false, reason};
+        return StartResult{false, reason};
     };
     if (faults.refuseAll)
         return refuse("refused");
@@ -64,8 +64,8 @@
     task.epoch = epoch;
     task.state = TaskState::Running;
     ++task.starts;
-    task.waiters.push_back(std::move(ended));
-    const json payload = order.value("payload", json::object());
+    task.waiters.push_back(std::move(onEnded));
+    const json payload = startRequest.value("payload", json::object());
     const double runMs = payload.is_object() ? payload.value("runMs", 50.0) : 50.0;
     const bool fails = faults.failAll || (payload.is_object() && payload.value("fail", false));
     const std::chrono::duration<double, std::milli> runTime(runMs * faults.slowdown / m_speed);
@@ -90,15 +90,15 @@
         it();
 }
 
-bool Executor::awaitTask(const std::string &name, std::function<void()> ended)
+bool Executor::awaitTask(const std::string &name, std::function<void()> onEnded)
 {
     const auto it = m_tasks.find(name);
     if (it == m_tasks.end())
         return false;
     if (it->second.state != TaskState::Running)
-        ended();
+        onEnded();
     else
-        it->second.waiters.push_back(std::move(ended));
+        it->second.waiters.push_back(std::move(onEnded));
     return true;
 }
 
--- a/standins/workers/workerpool.h
+++ b/standins/workers/executor.h
@@ -1,4 +1,4 @@
-// Executors played by one process: each has slots, a speed and the tasks that it was asked to run.
+// A simulated executor with its slots, its speed and the tasks that it was asked to run.
 #pragma once
 
 #include <base/ids.h>
@@ -17,7 +17,7 @@
 
 const char *taskStateName(TaskState state);
 
-/// A task as its executor remembers it.
+/// An executor's record of a task.
 struct Task
 {
     TaskState state = TaskState::Running;
@@ -26,10 +26,10 @@
     std::uint32_t starts = 0; // more than one is a double start
     nlohmann::json result;
     Base::TimerId timer;
-    std::vector<std::function<void()>> waiters; // called when the task ends
+    std::vector<std::function<void()>> waiters; // called at the end of the task
 };
 
-/// Messages by what they were for, and those that served no answer.
+/// Received messages by type, and how many of them had no effect.
 struct MessageCounts
 {
     std::uint64_t start = 0;
@@ -42,36 +42,37 @@
     std::uint64_t uselessStop = 0; // none of its tasks was running
 };
 
-/// Faults of one executor, set by the control interface.
+/// Faults injected into one executor through the control interface.
 struct Faults
 {
     bool refuseAll = false;
     bool failAll = false;
-    bool silent = false;             // receives and runs, never answers
-    double slowdown = 1;             // factor on run times
-    std::uint32_t answersToLose = 0; // the next starts run and stay unanswered
-    std::chrono::milliseconds answerDelay{0};
-    std::chrono::milliseconds receiveDelay{0}; // before a start is looked at
+    bool silent = false;               // runs tasks but never responds
+    double slowdown = 1;               // factor on run times
+    std::uint32_t responsesToDrop = 0; // the next starts run without a response
+    std::chrono::milliseconds responseDelay{0};
+    std::chrono::milliseconds receiveDelay{0}; // before a start is processed
 };
 
-struct StartVerdict
+struct StartResult
 {
     bool accepted = false;
     std::string reason; // busy, staleEpoch, revoked, known, refused
 };
 
-/// One executor. Lives on the process's loop.
+/// One executor. Runs on the event loop of the process.
 class Executor
 {
 public:
     Executor(Base::Timers &timers, Base::UpstreamId id, std::uint32_t slots, double speed,
              bool fencing);
 
-    StartVerdict start(const std::string &name, const nlohmann::json &order,
-                       std::function<void()> ended);
-    /// Calls \a ended when the task has ended, at once if it has; returns false if it is unknown.
-    bool awaitTask(const std::string &name, std::function<void()> ended);
-    /// Makes sure that a task that was not started never will be.
+    StartResult start(const std::string &name, const nlohmann::json &startRequest,
+                      std::function<void()> onEnded);
+    /// Calls \a onEnded at the end of the task, at once if it is over. Returns false if the task is
+    /// unknown.
+    bool awaitTask(const std::string &name, std::function<void()> onEnded);
+    /// Prevents a task that has not been started from being started later.
     void revoke(const std::string &name);
     /// Returns whether the task was running.
     bool stop(const std::string &name);
--- a/standins/workers/main.cpp
+++ b/standins/workers/main.cpp
@@ -1,4 +1,4 @@
-// Stand-in for the workers: plays every executor that a manifest declares. Not shipped.
+// Stand-in for the workers: simulates every executor that a manifest declares. Not shipped.
 #include "workerserver.h"
 
 #include <base/asiotimers.h>
@@ -24,13 +24,13 @@
     return text.str();
 }
 
-/// Speeds are spread evenly over the executors, from 1 to \a spread, in an order that mixes racks.
-static double speedOf(std::size_t index, std::size_t count, double spread)
+/// Speeds are spaced evenly from 1 to \a spread, in an order that mixes racks.
+static double executorSpeed(std::size_t index, std::size_t count, double spread)
 {
     if (count < 2)
         return 1;
-    const std::size_t mixed = (index * 7) % count;
-    return 1 + (spread - 1) * static_cast<double>(mixed) / static_cast<double>(count - 1);
+    const std::size_t rank = (index * 7) % count;
+    return 1 + (spread - 1) * static_cast<double>(rank) / static_cast<double>(count - 1);
 }
 
 static Http::ServerOptions serverOptions(const Manifest::Upstream &upstream)
@@ -57,7 +57,7 @@
     std::vector<std::unique_ptr<Executor>> executors;
     std::vector<std::unique_ptr<WorkerServer>> servers;
     for (const auto &[id, upstream] : manifest->upstreams) {
-        const double speed = speedOf(executors.size(), manifest->upstreams.size(), spread);
+        const double speed = executorSpeed(executors.size(), manifest->upstreams.size(), spread);
         executors.push_back(
             std::make_unique<Executor>(timers, id, upstream.slots, speed, upstream.fencing));
         servers.push_back(
--- a/standins/workers/workerserver.cpp
+++ b/standins/workers/workerserver.cpp
@@ -22,13 +22,13 @@
     return m_server.open();
 }
 
-void WorkerServer::answer(const Http::Respond &respond, int status, const json &body)
+void WorkerServer::sendResponse(const Http::Respond &respond, int status, const json &body)
 {
     if (m_executor.faults.silent)
         return;
     Http::Response response{status, body.dump(), "application/json", 0};
-    if (m_executor.faults.answerDelay.count() > 0) {
-        m_timers.schedule(m_executor.faults.answerDelay,
+    if (m_executor.faults.responseDelay.count() > 0) {
+        m_timers.schedule(m_executor.faults.responseDelay,
                           [respond, response] { respond(response); });
         return;
     }
@@ -46,7 +46,7 @@
         return;
     }
     if (request.matches("GET", {"v1", "usage"})) {
-        answer(respond, 200, {{"freeSlots", m_executor.freeSlots()}});
+        sendResponse(respond, 200, {{"freeSlots", m_executor.freeSlots()}});
         return;
     }
     if (request.matches("POST", {"v1", "tasks"})) {
@@ -55,7 +55,7 @@
     }
     const json body = json::parse(request.body, nullptr, false);
     if (!body.is_object()) {
-        answer(respond, 400, {{"state", "refused"}, {"reason", "badRequest"}});
+        sendResponse(respond, 400, {{"state", "refused"}, {"reason", "badRequest"}});
         return;
     }
     if (request.matches("POST", {"v1", "revoke"}))
@@ -67,38 +67,40 @@
     else if (request.matches("POST", {"control"}))
         control(body, respond);
     else
-        answer(respond, 404, {{"state", "refused"}, {"reason", "badRequest"}});
+        sendResponse(respond, 404, {{"state", "refused"}, {"reason", "badRequest"}});
 }
 
 void WorkerServer::start(const Http::Request &request, const Http::Respond &respond)
 {
-    const json order = json::parse(request.body, nullptr, false);
-    if (!order.is_object() || !order.contains("task")) {
-        answer(respond, 400, {{"state", "refused"}, {"reason", "badRequest"}});
+    const json startRequest = json::parse(request.body, nullptr, false);
+    if (!startRequest.is_object() || !startRequest.contains("task")) {
+        sendResponse(respond, 400, {{"state", "refused"}, {"reason", "badRequest"}});
         return;
     }
     if (m_executor.faults.receiveDelay.count() > 0) {
         m_timers.schedule(m_executor.faults.receiveDelay,
-                          [this, order, respond] { startNow(order, respond); });
+                          [this, startRequest, respond] { startNow(startRequest, respond); });
         return;
     }
-    startNow(order, respond);
+    startNow(startRequest, respond);
 }
 
-void WorkerServer::startNow(const json &order, const Http::Respond &respond)
+void WorkerServer::startNow(const json &startRequest, const Http::Respond &respond)
 {
-    const std::string name = order["task"];
-    bool losesAnswer = false;
-    if (m_executor.faults.answersToLose > 0) {
-        --m_executor.faults.answersToLose;
-        losesAnswer = true;
+    const std::string name = startRequest["task"];
+    bool dropsResponse = false;
+    if (m_executor.faults.responsesToDrop > 0) {
+        --m_executor.faults.responsesToDrop;
+        dropsResponse = true;
     }
-    const StartVerdict verdict = m_executor.start(name, order, [this, name, respond, losesAnswer] {
-        if (!losesAnswer)
-            answer(respond, 200, m_executor.report(name));
-    });
-    if (!verdict.accepted && !losesAnswer)
-        answer(respond, 409, {{"task", name}, {"state", "refused"}, {"reason", verdict.reason}});
+    const StartResult result =
+        m_executor.start(name, startRequest, [this, name, respond, dropsResponse] {
+            if (!dropsResponse)
+                sendResponse(respond, 200, m_executor.report(name));
+        });
+    if (!result.accepted && !dropsResponse)
+        sendResponse(respond, 409,
+                     {{"task", name}, {"state", "refused"}, {"reason", result.reason}});
 }
 
 void WorkerServer::query(const Http::Request &request, const Http::Respond &respond)
@@ -106,26 +108,26 @@
     ++m_executor.counts.query;
     const std::string name = request.parameter("task");
     const long waitMs = std::atol(request.parameter("waitMs").c_str());
-    // Answers once, at the end of the task or of the wait.
-    auto isAnswered = std::make_shared<bool>(false);
-    const auto reply = [this, name, respond, isAnswered] {
-        if (std::exchange(*isAnswered, true))
+    // Responds once, at the end of the task or of the wait.
+    auto hasResponded = std::make_shared<bool>(false);
+    const auto sendReport = [this, name, respond, hasResponded] {
+        if (std::exchange(*hasResponded, true))
             return;
-        answer(respond, 200, m_executor.report(name));
+        sendResponse(respond, 200, m_executor.report(name));
     };
-    if (waitMs <= 0 || !m_executor.awaitTask(name, reply)) {
-        reply();
+    if (waitMs <= 0 || !m_executor.awaitTask(name, sendReport)) {
+        sendReport();
         return;
     }
-    if (!*isAnswered)
-        m_timers.schedule(std::chrono::milliseconds(waitMs), reply);
+    if (!*hasResponded)
+        m_timers.schedule(std::chrono::milliseconds(waitMs), sendReport);
 }
 
 void WorkerServer::revoke(const json &body, const Http::Respond &respond)
 {
     ++m_executor.counts.revoke;
     if (!m_executor.isFencing()) {
-        answer(respond, 404, {{"state", "refused"}, {"reason", "unsupported"}});
+        sendResponse(respond, 404, {{"state", "refused"}, {"reason", "unsupported"}});
         return;
     }
     json reports = json::array();
@@ -133,21 +135,21 @@
         m_executor.revoke(name);
         reports.push_back(m_executor.report(name));
     }
-    answer(respond, 200, {{"tasks", reports}});
+    sendResponse(respond, 200, {{"tasks", reports}});
 }
 
 void WorkerServer::stop(const json &body, const Http::Respond &respond)
 {
     ++m_executor.counts.stop;
-    bool isUseful = false;
+    bool anyStopped = false;
     json reports = json::array();
     for (const std::string name : body.value("tasks", json::array())) {
-        isUseful |= m_executor.stop(name);
+        anyStopped |= m_executor.stop(name);
         reports.push_back(m_executor.report(name));
     }
-    if (!isUseful)
+    if (!anyStopped)
         ++m_executor.counts.uselessStop;
-    answer(respond, 200, {{"tasks", reports}});
+    sendResponse(respond, 200, {{"tasks", reports}});
 }
 
 void WorkerServer::fence(const json &body, const Http::Respond &respond)
@@ -157,7 +159,7 @@
     for (const std::string &name :
          m_executor.fence(body.value("shard", ""), body.value("epoch", std::uint64_t(0))))
         reports.push_back(m_executor.report(name));
-    answer(respond, 200, {{"fenced", m_executor.isFencing()}, {"tasks", reports}});
+    sendResponse(respond, 200, {{"fenced", m_executor.isFencing()}, {"tasks", reports}});
 }
 
 void WorkerServer::control(const json &body, const Http::Respond &respond)
@@ -167,9 +169,9 @@
     faults.failAll = body.value("failAll", faults.failAll);
     faults.silent = body.value("silent", faults.silent);
     faults.slowdown = body.value("slowdown", faults.slowdown);
-    faults.answersToLose = body.value("loseAnswers", faults.answersToLose);
-    faults.answerDelay =
-        std::chrono::milliseconds(body.value("answerDelayMs", faults.answerDelay.count()));
+    faults.responsesToDrop = body.value("loseAnswers", faults.responsesToDrop);
+    faults.responseDelay =
+        std::chrono::milliseconds(body.value("answerDelayMs", faults.responseDelay.count()));
     faults.receiveDelay =
         std::chrono::milliseconds(body.value("receiveDelayMs", faults.receiveDelay.count()));
     respond({200, "{}", "application/json", 0});
--- a/standins/workers/workerserver.h
+++ b/standins/workers/workerserver.h
@@ -1,7 +1,7 @@
-// HTTP face of one executor of the worker stand-in.
+// HTTP interface of one executor of the worker stand-in.
 #pragma once
 
-#include "workerpool.h"
+#include "executor.h"
 
 #include <http/server.h>
 
@@ -19,13 +19,13 @@
 private:
     void handle(const Http::Request &request, const Http::Respond &respond);
     void start(const Http::Request &request, const Http::Respond &respond);
-    void startNow(const nlohmann::json &order, const Http::Respond &respond);
+    void startNow(const nlohmann::json &startRequest, const Http::Respond &respond);
     void query(const Http::Request &request, const Http::Respond &respond);
     void revoke(const nlohmann::json &body, const Http::Respond &respond);
     void stop(const nlohmann::json &body, const Http::Respond &respond);
     void fence(const nlohmann::json &body, const Http::Respond &respond);
     void control(const nlohmann::json &body, const Http::Respond &respond);
-    void answer(const Http::Respond &respond, int status, const nlohmann::json &body);
+    void sendResponse(const Http::Respond &respond, int status, const nlohmann::json &body);
 
     Base::Timers &m_timers;
     Executor &m_executor;
