--- a/tools/eventbench/main.cpp
+++ b/tools/eventbench/main.cpp
@@ -1,5 +1,5 @@
-// Measures what recording costs on one thread. Prints one line per operation: the median and the
-// best of several rounds in nanoseconds per operation.
+// Measures the cost of recording events and metrics on one thread. Prints one line per operation:
+// the median and the best of several rounds in nanoseconds per operation.
 #include <base/asiotimers.h>
 #include <eventlog/eventring.h>
 #include <metrics/metricsregistry.h>
@@ -24,7 +24,7 @@
         const auto start = std::chrono::steady_clock::now();
         for (int i = 0; i < OPERATIONS_PER_ROUND; ++i) {
             operation(i);
-            // Keeps the compiler from merging the operations of several turns.
+            // Keeps the compiler from merging the operations of several iterations.
             std::atomic_signal_fence(std::memory_order_seq_cst);
         }
         const auto elapsed = std::chrono::steady_clock::now() - start;
@@ -66,11 +66,11 @@
     measure("histogram", [&](int i) {
         histogram.observe(std::chrono::microseconds(100 + 37LL * i % 1'000'000));
     });
-    measure("look-up and counter",
+    measure("lookup and counter",
             [&](int) { registry.counter("bench_starts", "Starts.", {.kind = "probe"}).add(); });
 }
 
-/// What the jobs library pays for each task.
+/// Cost of the observer calls that the jobs library makes for each task.
 static void measureTasks()
 {
     asio::io_context io(1);
@@ -91,9 +91,9 @@
     record.tasks[0].upstream = upstream;
     record.tasks[0].startedAt = timers.now();
     record.outcome = Jobs::RequestView{Jobs::RequestState::Complete, {}, {}, {}};
-    Jobs::JobObserver none;
-    for (Jobs::JobObserver *it : {&none, static_cast<Jobs::JobObserver *>(&telemetry)}) {
-        fmt::print("{}\n", it == &none ? "without recording:" : "with recording:");
+    Jobs::JobObserver unrecorded;
+    for (Jobs::JobObserver *it : {&unrecorded, static_cast<Jobs::JobObserver *>(&telemetry)}) {
+        fmt::print("{}\n", it == &unrecorded ? "without recording:" : "with recording:");
         measure("task started", [&](int) { it->taskStarted(record, 0, upstream); });
         measure("task ended", [&](int) { it->taskEnded(record, 0, Base::FailureCode::None); });
         measure("request decided", [&](int) { it->requestDecided(record); });
