--- a/tests/support/childprocess.cpp
+++ b/tests/support/childprocess.cpp
@@ -1,4 +1,4 @@
-// posix_spawn and the registry of children.
+// Starting child processes, and the registry from which a signal handler kills them.
 #include "childprocess.h"
 
 #include <fcntl.h>
@@ -35,7 +35,7 @@
     _exit(99);
 }
 
-void ChildProcess::armGuard(unsigned seconds)
+void ChildProcess::armWatchdog(unsigned seconds)
 {
     for (const int it : {SIGALRM, SIGTERM, SIGINT})
         std::signal(it, killChildren);
@@ -50,7 +50,7 @@
         posix_spawn_file_actions_addopen(&actions, it, logFile.c_str(),
                                          O_WRONLY | O_CREAT | O_APPEND, 0600);
     }
-    // A child that inherited a socket of the relay would keep its connection open.
+    // A child that inherited a socket of a TcpRelay would keep the connection open.
     posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
     std::vector<char *> argv;
     for (const std::string &it : arguments)
@@ -74,7 +74,7 @@
         ::kill(m_pid, number);
 }
 
-static int decode(int status)
+static int exitCodeOf(int status)
 {
     return WIFSIGNALED(status) ? -WTERMSIG(status) : WEXITSTATUS(status);
 }
@@ -86,7 +86,7 @@
         return m_pid > 0;
     replaceChild(m_pid, 0);
     m_pid = -1;
-    m_exitCode = decode(status);
+    m_exitCode = exitCodeOf(status);
     return false;
 }
 
@@ -99,7 +99,7 @@
     waitpid(m_pid, &status, 0);
     replaceChild(m_pid, 0);
     m_pid = -1;
-    m_exitCode = decode(status);
+    m_exitCode = exitCodeOf(status);
 }
 
 } // namespace TestSupport
--- a/tests/support/childprocess.h
+++ b/tests/support/childprocess.h
@@ -8,8 +8,8 @@
 
 namespace TestSupport {
 
-/// Ends its process when it goes out of scope. Processes that are still registered are also killed
-/// if the test program gets SIGALRM, SIGTERM or SIGINT.
+/// Kills its process on destruction. After armWatchdog(), running children are also killed if the
+/// test program gets SIGALRM, SIGTERM or SIGINT.
 class ChildProcess
 {
 public:
@@ -20,16 +20,15 @@
     ChildProcess &operator=(const ChildProcess &) = delete;
 
     void signal(int number) const;
-    /// Whether the process has not been collected. Never blocks.
+    /// Returns whether the process is running, and reaps it if it has ended. Never blocks.
     bool isRunning();
     /// Exit code, or the negative signal number. Valid once isRunning() is false.
     int exitCode() const { return m_exitCode; }
-    /// SIGKILL, and waits for the end.
+    /// Sends SIGKILL and waits for the process to end.
     void kill();
 
-    /// Kills every registered process when the alarm fires, so that none outlives a test program
-    /// that hangs.
-    static void armGuard(unsigned seconds);
+    /// Kills all child processes after \a seconds, so that none outlives a test program that hangs.
+    static void armWatchdog(unsigned seconds);
 
 private:
     pid_t m_pid = -1;
--- a/tests/support/tcprelay.cpp
+++ b/tests/support/tcprelay.cpp
@@ -8,9 +8,9 @@
 using asio::ip::tcp;
 
 /// A relayed connection.
-struct TcpRelay::Link
+struct TcpRelay::Connection
 {
-    Link(asio::io_context &io, const TcpRelay *owner)
+    Connection(asio::io_context &io, const TcpRelay *owner)
         : sockets{tcp::socket(io), tcp::socket(io)}
         , relay(owner)
     {}
@@ -24,7 +24,7 @@
 
     std::array<tcp::socket, 2> sockets;
     std::array<std::array<char, 16384>, 2> buffers{};
-    const TcpRelay *relay; // null once it is gone
+    const TcpRelay *relay; // null after restore() or the end of the relay
 };
 
 TcpRelay::TcpRelay(asio::io_context &io, std::uint16_t listenPort, std::uint16_t targetPort)
@@ -44,60 +44,64 @@
 
 void TcpRelay::restore()
 {
-    m_isCut = false;
-    for (const auto &it : m_links) {
+    m_isPartitioned = false;
+    for (const auto &it : m_connections) {
         it->relay = nullptr;
         it->close();
     }
-    m_links.clear();
+    m_connections.clear();
 }
 
 void TcpRelay::accept()
 {
-    auto link = std::make_shared<Link>(m_io, this);
-    m_acceptor.async_accept(link->sockets[0], [this, link](const asio::error_code &ec) {
+    auto connection = std::make_shared<Connection>(m_io, this);
+    m_acceptor.async_accept(connection->sockets[0], [this, connection](const asio::error_code &ec) {
         if (ec == asio::error::operation_aborted)
             return;
         if (!ec) {
-            m_links.push_back(link);
-            // A connection attempt during the cut stays without an answer until restore().
-            if (m_isCut) {
+            m_connections.push_back(connection);
+            // A connection accepted during a partition is not forwarded; restore() closes it.
+            if (m_isPartitioned) {
                 accept();
                 return;
             }
-            link->sockets[1].async_connect(m_target, [link](const asio::error_code &connectError) {
-                if (connectError) {
-                    link->close();
-                    return;
-                }
-                pump(link, 0);
-                pump(link, 1);
-            });
+            connection->sockets[1].async_connect(
+                m_target, [connection](const asio::error_code &connectError) {
+                    if (connectError) {
+                        connection->close();
+                        return;
+                    }
+                    pump(connection, 0);
+                    pump(connection, 1);
+                });
         }
         accept();
     });
 }
 
-void TcpRelay::pump(const std::shared_ptr<Link> &link, std::size_t from)
+void TcpRelay::pump(const std::shared_ptr<Connection> &connection, std::size_t from)
 {
-    link->sockets[from].async_read_some(
-        asio::buffer(link->buffers[from]), [link, from](const asio::error_code &ec, std::size_t n) {
-            // Bytes and ends of connections do not pass a cut; restore() closes the connection.
-            if (link->relay && link->relay->m_isCut) {
+    connection->sockets[from].async_read_some(
+        asio::buffer(connection->buffers[from]),
+        [connection, from](const asio::error_code &ec, std::size_t n) {
+            // Neither data nor the end of a connection is forwarded during a partition; restore()
+            // closes the connection.
+            if (connection->relay && connection->relay->m_isPartitioned) {
                 if (!ec)
-                    pump(link, from);
+                    pump(connection, from);
                 return;
             }
-            if (ec || !link->relay) {
-                link->close();
+            if (ec || !connection->relay) {
+                connection->close();
                 return;
             }
-            asio::async_write(link->sockets[1 - from], asio::buffer(link->buffers[from], n),
-                              [link, from](const asio::error_code &writeError, std::size_t) {
+            asio::async_write(connection->sockets[1 - from],
+                              asio::buffer(connection->buffers[from], n),
+                              [connection, from](const asio::error_code &writeError, std::size_t) {
                                   if (writeError)
-                                      link->close();
+                                      connection->close();
                                   else
-                                      pump(link, from);
+                                      pump(connection, from);
                               });
         });
 }
--- a/tests/support/tcprelay.h
+++ b/tests/support/tcprelay.h
@@ -1,4 +1,4 @@
-// A TCP relay that can be cut like a network link.
+// A TCP relay that can simulate a network partition.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -11,29 +11,29 @@
 
 namespace TestSupport {
 
-/// Relays connections from a loopback port to another. While it is cut, connections stay open and
-/// bytes do not pass, as with a partition: neither side is told.
+/// Relays connections from one loopback port to another. During a partition connections stay open
+/// and no bytes are forwarded, so neither side sees an error.
 class TcpRelay
 {
 public:
     TcpRelay(asio::io_context &io, std::uint16_t listenPort, std::uint16_t targetPort);
     ~TcpRelay();
 
-    void cut() { m_isCut = true; }
-    /// Closes the connections that were cut, so that the programs connect anew.
+    void partition() { m_isPartitioned = true; }
+    /// Ends the partition and closes all connections, so that the programs reconnect.
     void restore();
 
 private:
-    struct Link;
+    struct Connection;
 
     void accept();
-    static void pump(const std::shared_ptr<Link> &link, std::size_t from);
+    static void pump(const std::shared_ptr<Connection> &connection, std::size_t from);
 
     asio::io_context &m_io;
     asio::ip::tcp::acceptor m_acceptor;
     asio::ip::tcp::endpoint m_target;
-    bool m_isCut = false;
-    std::vector<std::shared_ptr<Link>> m_links; // kept until restore(), also if closed
+    bool m_isPartitioned = false;
+    std::vector<std::shared_ptr<Connection>> m_connections; // kept until restore(), also if closed
 };
 
 } // namespace TestSupport
--- a/tests/system/deployment.cpp
+++ b/tests/system/deployment.cpp
@@ -215,7 +215,7 @@
 void Deployment::cutSouth()
 {
     for (const auto &it : m_relays)
-        it->cut();
+        it->partition();
 }
 
 void Deployment::restoreSouth()
--- a/tests/system/tst_system.cpp
+++ b/tests/system/tst_system.cpp
@@ -15,7 +15,7 @@
 
 struct Guard
 {
-    Guard() { TestSupport::ChildProcess::armGuard(GUARD_S); }
+    Guard() { TestSupport::ChildProcess::armWatchdog(GUARD_S); }
 };
 BOOST_TEST_GLOBAL_FIXTURE(Guard);
 
