--- a/src/libs/dispatch/dispatchtypes.h
+++ b/src/libs/dispatch/dispatchtypes.h
@@ -74,11 +74,11 @@
 /// How a run ended.
 enum class RunEnd {
     Done,
-    Failed,  ///< The task or the executor failed; counts as an attempt.
-    Stopped, ///< By a stop order.
-    Lapsed,  ///< The executor's lease expired.
-    Broken,  ///< Another member of its gang ended.
-    Alone,   ///< The other members of its gang did not start.
+    Failed,          ///< The task or the executor failed; counts as an attempt.
+    Stopped,         ///< By a stop order.
+    LeaseExpired,    ///< The executor's lease expired.
+    GangMemberEnded, ///< Another member of its gang ended.
+    GangIncomplete,  ///< The other members of its gang did not start.
 };
 
 /// One step of a job: tasks with the same resource requirements.
--- a/src/libs/dispatch/executorgroup.cpp
+++ b/src/libs/dispatch/executorgroup.cpp
@@ -143,9 +143,9 @@
     case RunEnd::Failed:
         return TaskReportState::Failed;
     case RunEnd::Stopped:
-    case RunEnd::Lapsed:
-    case RunEnd::Broken:
-    case RunEnd::Alone:
+    case RunEnd::LeaseExpired:
+    case RunEnd::GangMemberEnded:
+    case RunEnd::GangIncomplete:
         break;
     }
     return TaskReportState::Lost;
@@ -397,7 +397,7 @@
         ++executor->missedAnswers;
         executor->nextTry = now;
     }
-    if (result.outcome == OrderOutcome::Unhealthy || result.refusal == RefusalReason::NoRoom
+    if (result.outcome == OrderOutcome::Unhealthy || result.refusal == RefusalReason::NoResources
         || result.refusal == RefusalReason::Other) {
         executor->backOff(now + Constants::BACK_OFF_MS);
     }
@@ -662,9 +662,9 @@
         ++m_counters.failed;
         break;
     case RunEnd::Stopped:
-    case RunEnd::Lapsed:
-    case RunEnd::Broken:
-    case RunEnd::Alone:
+    case RunEnd::LeaseExpired:
+    case RunEnd::GangMemberEnded:
+    case RunEnd::GangIncomplete:
         ++m_counters.lost;
         requeue(end.task, true);
         return;
@@ -704,7 +704,7 @@
     const bool wasClaimed = run->isClaimed;
     Base::log(LogLevel::Info, "runGone",
               {{"task", toString(id)}, {"run", run->number}, {"executor", executor.info().id}});
-    m_ended[id] = {run->number, RunEnd::Lapsed, m_timers.now(), executor.info().id, false};
+    m_ended[id] = {run->number, RunEnd::LeaseExpired, m_timers.now(), executor.info().id, false};
     executor.runs().erase(id);
     loadChanged();
     ++m_counters.lost;
@@ -720,7 +720,8 @@
                {"lifetime", lifetime}});
     std::vector<TaskId> lost;
     for (const auto &[task, run] : executor.runs()) {
-        m_ended[task] = {run.number, RunEnd::Lapsed, m_timers.now(), executor.info().id, false};
+        m_ended[task] = {run.number, RunEnd::LeaseExpired, m_timers.now(), executor.info().id,
+                         false};
         if (run.isClaimed)
             lost.push_back(task);
     }
--- a/src/libs/dispatch/executorport.h
+++ b/src/libs/dispatch/executorport.h
@@ -25,7 +25,7 @@
     Fenced,       ///< A higher token was seen.
     OldRun,       ///< This run of the task or a higher one has ended or was stopped there.
     LeaseExpired, ///< The lease in the order had expired on arrival.
-    NoRoom,
+    NoResources,
     Other,
 };
 
--- a/tests/auto/dispatch/fakeexecutors.h
+++ b/tests/auto/dispatch/fakeexecutors.h
@@ -146,7 +146,7 @@
             Executor &it = at(id);
             if (it.leaseEnd == until) {
                 for (const auto &[task, run] : std::map(it.runs))
-                    endRun(it, task, RunEnd::Lapsed);
+                    endRun(it, task, RunEnd::LeaseExpired);
             }
         });
     }
--- a/tests/auto/dispatch/tst_dispatchparts.cpp
+++ b/tests/auto/dispatch/tst_dispatchparts.cpp
@@ -277,7 +277,7 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(rights)
+BOOST_AUTO_TEST_SUITE(ownership)
 
 class IgnoringListener : public GroupOwnershipListener
 {
@@ -298,18 +298,18 @@
     TestSupport::ManualTimers timers;
     IgnoringListener listener;
     const Base::FailureDomainId domain("d");
-    GroupOwnership rights(Base::DaemonId("a"), domain, timers, listener);
+    GroupOwnership ownership(Base::DaemonId("a"), domain, timers, listener);
     const Base::DaemonId peer("b");
     Wire::DispatchState state;
-    rights.stateReceived(peer, domain, Base::Incarnation(1), state);
+    ownership.stateReceived(peer, domain, Base::Incarnation(1), state);
     timers.advance(5s);
     state.heardAgoMs = 5000;
-    rights.peerConnected(peer);
-    rights.stateReceived(peer, domain, Base::Incarnation(1), state);
-    BOOST_TEST(rights.peersToReset().empty());
+    ownership.peerConnected(peer);
+    ownership.stateReceived(peer, domain, Base::Incarnation(1), state);
+    BOOST_TEST(ownership.peersToReset().empty());
     timers.advance(Constants::PEER_SILENCE_MS);
-    rights.stateReceived(peer, domain, Base::Incarnation(1), state);
-    BOOST_TEST(rights.peersToReset().size() == 1U);
+    ownership.stateReceived(peer, domain, Base::Incarnation(1), state);
+    BOOST_TEST(ownership.peersToReset().size() == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/auto/platform/tst_platform.cpp
+++ b/tests/auto/platform/tst_platform.cpp
@@ -157,7 +157,7 @@
     const std::pair<const char *, RefusalReason> reasons[] = {{"fence", RefusalReason::Fenced},
                                                               {"old", RefusalReason::OldRun},
                                                               {"late", RefusalReason::LeaseExpired},
-                                                              {"room", RefusalReason::NoRoom},
+                                                              {"room", RefusalReason::NoResources},
                                                               {"ticket", RefusalReason::Other}};
     for (const auto &[name, reason] : reasons) {
         const auto result = decodeOrderResponse(409, json({{"reason", name}}).dump());
