--- a/src/libs/dispatch/dispatchnode.cpp
+++ b/src/libs/dispatch/dispatchnode.cpp
@@ -172,7 +172,7 @@
 void DispatchNode::stateReceived(const Wire::PeerIdentity &from, const Wire::DispatchState &state)
 {
     m_ownership.stateReceived(from.daemon, from.domain, from.incarnation, state);
-    const auto connection = std::pair(from.incarnation, state.connection);
+    const auto connection = std::pair(from.incarnation, state.connectionCount);
     auto &known = m_peerConnections[from.daemon];
     if (known == connection)
         return;
@@ -184,7 +184,7 @@
 void DispatchNode::sendState(const Base::DaemonId &peer, std::uint64_t connections)
 {
     Wire::DispatchState state = m_ownership.stateFor(peer);
-    state.connection = connections;
+    state.connectionCount = connections;
     m_peers.send(peer, state);
 }
 
--- a/src/libs/dispatch/groupownership.cpp
+++ b/src/libs/dispatch/groupownership.cpp
@@ -117,7 +117,7 @@
     p.isLost = false;
     for (const Wire::GroupClaim &it2 : state.claims)
         mergeClaim(it2);
-    if (std::exchange(p.droppedByPeer, state.dropped) != state.dropped)
+    if (std::exchange(p.droppedByPeer, state.dropCount) != state.dropCount)
         m_listener.tasksDropped(peer);
 }
 
@@ -384,7 +384,7 @@
     const auto it = m_peers.find(peer);
     state.heardAgoMs = it == m_peers.end() ? 0 : age(it->second.lastHeard);
     state.capacity = m_capacity;
-    state.dropped = it == m_peers.end() ? 0 : it->second.dropped;
+    state.dropCount = it == m_peers.end() ? 0 : it->second.dropped;
     // In a large deployment the claims of others are omitted, because their number grows with the
     // square of its size. The previous owner is informed anyway, as it may not hear the new owner.
     const bool includesAllClaims = !isLargeDeployment();
--- a/src/libs/wire/messages.h
+++ b/src/libs/wire/messages.h
@@ -164,13 +164,13 @@
 struct DispatchState
 {
     bool draining = false;
-    std::uint64_t heardAgoMs = 0; // since the sender last heard from the recipient
-    std::uint64_t connection = 0; // how often the sender has connected to the recipient
-    std::uint64_t dropped = 0;    // how often the sender dropped the recipient's tasks as lost
-    std::uint32_t capacity = 0;   // processor of the sender's host, thousandths of a core
+    std::uint64_t heardAgoMs = 0;      // since the sender last heard from the recipient
+    std::uint64_t connectionCount = 0; // how often the sender has connected to the recipient
+    std::uint64_t dropCount = 0;       // how often the sender dropped the recipient's tasks as lost
+    std::uint32_t capacity = 0;        // processor of the sender's host, thousandths of a core
     std::vector<GroupClaim> claims;
 
-    MSGPACK_DEFINE(draining, heardAgoMs, connection, dropped, capacity, claims)
+    MSGPACK_DEFINE(draining, heardAgoMs, connectionCount, dropCount, capacity, claims)
 };
 
 /// Free resources of one executor.
--- a/tests/auto/dispatch/dispatchcluster.h
+++ b/tests/auto/dispatch/dispatchcluster.h
@@ -105,28 +105,28 @@
     bool isUp(const std::string &name) const { return daemons.contains(name); }
     DispatchNode &node(const std::string &name) { return daemons.at(name)->node; }
 
-    void setCut(const std::string &a, const std::string &b, bool isCut)
+    void setPartitioned(const std::string &a, const std::string &b, bool isPartitioned)
     {
-        network.setCut(Base::DaemonId(a), Base::DaemonId(b), isCut);
-        if (!isCut)
+        network.setPartitioned(Base::DaemonId(a), Base::DaemonId(b), isPartitioned);
+        if (!isPartitioned)
             connect(a, b);
     }
 
     /// Partitions a failure domain from the daemons and executors of the others, or reconnects it.
-    void setDomainCut(const std::string &domain, bool isCut)
+    void setDomainPartitioned(const std::string &domain, bool isPartitioned)
     {
         for (const auto &[name, own] : domains) {
             for (const auto &[other, otherDomain] : domains) {
                 if (name < other && (own == domain) != (otherDomain == domain))
-                    setCut(name, other, isCut);
+                    setPartitioned(name, other, isPartitioned);
             }
             for (const ExecutorInfo &it : executors.infos()) {
                 if ((own == domain) == (it.domain.value() == domain))
                     continue;
-                if (isCut)
-                    executors.cut.insert({name, it.id});
+                if (isPartitioned)
+                    executors.partitioned.insert({name, it.id});
                 else
-                    executors.cut.erase({name, it.id});
+                    executors.partitioned.erase({name, it.id});
             }
         }
     }
@@ -239,7 +239,7 @@
 
     void connect(const std::string &a, const std::string &b)
     {
-        if (!isUp(a) || !isUp(b) || network.isCut(Base::DaemonId(a), Base::DaemonId(b)))
+        if (!isUp(a) || !isUp(b) || network.isPartitioned(Base::DaemonId(a), Base::DaemonId(b)))
             return;
         node(a).peerConnected(identity(b));
         node(b).peerConnected(identity(a));
--- a/tests/auto/dispatch/fakeexecutors.h
+++ b/tests/auto/dispatch/fakeexecutors.h
@@ -22,10 +22,10 @@
 using TestSupport::ManualTimers;
 
 /// How an order and its answer are delivered.
-struct OrderFate
+struct OrderDelivery
 {
-    Base::Duration there{200us};
-    Base::Duration back{200us};
+    Base::Duration requestDelay{200us};
+    Base::Duration answerDelay{200us};
     bool isLost = false; // never arrives
     bool isAnswerLost = false;
     Base::Duration lateBy{0}; // carried out this much later, and not answered
@@ -103,7 +103,7 @@
 
     bool isReachable(const std::string &daemon, const ExecutorId &id) const
     {
-        return m_executors.at(id).isUp && !cut.contains({daemon, id});
+        return m_executors.at(id).isUp && !partitioned.contains({daemon, id});
     }
 
     std::int64_t clockOf(const Executor &executor) const
@@ -264,8 +264,8 @@
 
     ManualTimers &m_clock;
     /// Pairs of daemon and executor that cannot reach each other.
-    std::set<std::pair<std::string, ExecutorId>> cut;
-    std::function<OrderFate()> chooseFate = [] { return OrderFate(); };
+    std::set<std::pair<std::string, ExecutorId>> partitioned;
+    std::function<OrderDelivery()> chooseDelivery = [] { return OrderDelivery(); };
     std::function<Resources(const StartOrder &)> shapeOf;
     std::function<std::pair<Base::Duration, RunEnd>(const StartOrder &, const ExecutorInfo &)>
         chooseRun = [](const StartOrder &, const ExecutorInfo &) {
@@ -311,36 +311,37 @@
 
     void hold(const ExecutorInfo &executor, const HoldOrder &order, HoldCallback callback) override
     {
-        const OrderFate fate = m_executors.chooseFate();
+        const OrderDelivery delivery = m_executors.chooseDelivery();
         const auto answer = makeAnswerCallback<HoldResult>(200ms + order.wait, std::move(callback));
-        const auto respond = [this, fate, answer, id = executor.id] {
+        const auto respond = [this, delivery, answer, id = executor.id] {
             const HoldResult result = m_executors.list(m_executors.at(id));
-            deliverAnswer(id, fate, [answer, result] { (*answer)(result); });
+            deliverAnswer(id, delivery, [answer, result] { (*answer)(result); });
         };
-        deliverOrder(executor, fate, [this, order, respond, answer, fate, id = executor.id] {
-            FakeExecutors::Executor &it = m_executors.at(id);
-            if (auto refused = m_executors.checkToken(it, order.token)) {
-                HoldResult result;
-                result.order = *refused;
-                deliverAnswer(id, fate, [answer, result] { (*answer)(result); });
-                return;
-            }
-            std::erase_if(it.ended, [&order](const ListedEnd &end) {
-                return end.sequence <= order.seenUpTo;
-            });
-            m_executors.extendLease(it, order.leaseEnd);
-            if (!it.ended.empty() || order.wait.count() == 0) {
-                respond();
-                return;
-            }
-            const auto isDone = std::make_shared<bool>(false);
-            const auto once = [isDone, respond] {
-                if (!std::exchange(*isDone, true))
-                    respond();
-            };
-            it.waitingHolds.emplace_back(order.seenUpTo, once);
-            m_executors.m_clock.schedule(order.wait, once);
-        });
+        deliverOrder(executor, delivery,
+                     [this, order, respond, answer, delivery, id = executor.id] {
+                         FakeExecutors::Executor &it = m_executors.at(id);
+                         if (auto refused = m_executors.checkToken(it, order.token)) {
+                             HoldResult result;
+                             result.order = *refused;
+                             deliverAnswer(id, delivery, [answer, result] { (*answer)(result); });
+                             return;
+                         }
+                         std::erase_if(it.ended, [&order](const ListedEnd &end) {
+                             return end.sequence <= order.seenUpTo;
+                         });
+                         m_executors.extendLease(it, order.leaseEnd);
+                         if (!it.ended.empty() || order.wait.count() == 0) {
+                             respond();
+                             return;
+                         }
+                         const auto isDone = std::make_shared<bool>(false);
+                         const auto once = [isDone, respond] {
+                             if (!std::exchange(*isDone, true))
+                                 respond();
+                         };
+                         it.waitingHolds.emplace_back(order.seenUpTo, once);
+                         m_executors.m_clock.schedule(order.wait, once);
+                     });
     }
 
 private:
@@ -348,11 +349,11 @@
     void send(const ExecutorInfo &executor, Base::Duration timeout, Callback callback,
               Action action)
     {
-        const OrderFate fate = m_executors.chooseFate();
+        const OrderDelivery delivery = m_executors.chooseDelivery();
         const auto answer = makeAnswerCallback<Result>(timeout, std::move(callback));
-        deliverOrder(executor, fate, [this, action, answer, fate, id = executor.id] {
+        deliverOrder(executor, delivery, [this, action, answer, delivery, id = executor.id] {
             const Result result = action(m_executors.at(id));
-            deliverAnswer(id, fate, [answer, result] { (*answer)(result); });
+            deliverAnswer(id, delivery, [answer, result] { (*answer)(result); });
         });
     }
 
@@ -371,14 +372,14 @@
         return answer;
     }
 
-    void deliverOrder(const ExecutorInfo &executor, const OrderFate &fate,
+    void deliverOrder(const ExecutorInfo &executor, const OrderDelivery &delivery,
                       std::function<void()> action)
     {
-        if (fate.isLost)
+        if (delivery.isLost)
             return;
         m_executors.m_clock.schedule(
-            fate.there + fate.lateBy,
-            [this, id = executor.id, lifetime = executor.lifetime, action, late = fate.lateBy] {
+            delivery.requestDelay + delivery.lateBy,
+            [this, id = executor.id, lifetime = executor.lifetime, action, late = delivery.lateBy] {
                 // A late order has already reached the executor, so a partition does not affect it.
                 const FakeExecutors::Executor &it = m_executors.at(id);
                 const bool isDelivered =
@@ -388,11 +389,12 @@
             });
     }
 
-    void deliverAnswer(const ExecutorId &id, const OrderFate &fate, std::function<void()> action)
+    void deliverAnswer(const ExecutorId &id, const OrderDelivery &delivery,
+                       std::function<void()> action)
     {
-        if (fate.isAnswerLost || fate.lateBy.count() > 0)
+        if (delivery.isAnswerLost || delivery.lateBy.count() > 0)
             return;
-        m_executors.m_clock.schedule(fate.back, [this, id, action] {
+        m_executors.m_clock.schedule(delivery.answerDelay, [this, id, action] {
             if (m_timers && m_executors.isReachable(m_daemon, id))
                 m_timers->schedule(Base::Duration(0), action);
         });
--- a/tests/auto/dispatch/tst_dispatch.cpp
+++ b/tests/auto/dispatch/tst_dispatch.cpp
@@ -144,11 +144,11 @@
 BOOST_AUTO_TEST_CASE(lateStartRunsNothingTwice)
 {
     std::mt19937_64 random(7);
-    executors.chooseFate = [&random] {
-        OrderFate fate;
+    executors.chooseDelivery = [&random] {
+        OrderDelivery delivery;
         if (random() % 10 == 0)
-            fate.lateBy = std::chrono::milliseconds(2000 + random() % 8000);
-        return fate;
+            delivery.lateBy = std::chrono::milliseconds(2000 + random() % 8000);
+        return delivery;
     };
     for (int i = 0; i < 40; ++i) {
         submit("a1", "job" + std::to_string(i), 4);
@@ -165,7 +165,7 @@
 {
     const std::string ownerA = ownerOf("a");
     const std::string ownerB = ownerOf("b");
-    setDomainCut("a", true);
+    setDomainPartitioned("a", true);
     run(5s);
     BOOST_TEST(ownerOf("a") == ownerA);
     BOOST_TEST(ownerOf("b") == ownerB);
@@ -173,7 +173,7 @@
     submit("b1", "outside", 4);
     run(500ms);
     BOOST_TEST(count(JobOutcome::Completed) == 2U);
-    setDomainCut("a", false);
+    setDomainPartitioned("a", false);
     run(3s);
     BOOST_TEST(ownerOf("a") == ownerA);
     BOOST_TEST(ownerOf("b") == ownerB);
@@ -191,9 +191,9 @@
     for (int round = 0; round < 20; ++round) {
         for (int i = 0; i < 4; ++i)
             submit("a1", "job" + std::to_string(round * 4 + i), 6, {6800, 64, 0}, 800ms, 2500ms);
-        setCut("a1", owner, true);
+        setPartitioned("a1", owner, true);
         run(450ms + std::chrono::milliseconds(round * 10));
-        setCut("a1", owner, false);
+        setPartitioned("a1", owner, false);
         run(1s);
     }
     run(3s);
@@ -329,7 +329,7 @@
 BOOST_AUTO_TEST_CASE(unreachableOwnerGetsNoTasks)
 {
     const std::string owner = ownerOf("b");
-    setCut("a1", owner, true);
+    setPartitioned("a1", owner, true);
     node("a1").peerDisconnected(identity(owner));
     const std::uint64_t before = network.messageCount;
     submit("a1", "job", 16, {6800, 64, 0}, 60ms, 1s);
@@ -370,12 +370,12 @@
             busy = it.id;
     }
     BOOST_REQUIRE(!busy.isEmpty());
-    cluster.executors.cut.insert({other, busy});
-    cluster.setCut(owner, other, true);
+    cluster.executors.partitioned.insert({other, busy});
+    cluster.setPartitioned(owner, other, true);
     cluster.run(6s);
     BOOST_TEST(cluster.executors.violation == "");
-    cluster.executors.cut.clear();
-    cluster.setCut(owner, other, false);
+    cluster.executors.partitioned.clear();
+    cluster.setPartitioned(owner, other, false);
     cluster.run(8s);
     BOOST_TEST(cluster.executors.violation == "");
     BOOST_TEST(cluster.count(JobOutcome::Completed) == 1U);
@@ -394,12 +394,12 @@
     cluster.addExecutors("b", 4);
     cluster.startAll();
     cluster.run(3s);
-    cluster.setDomainCut("a", true);
+    cluster.setDomainPartitioned("a", true);
     cluster.run(4s);
     BOOST_REQUIRE(cluster.owners("a") == std::vector<std::string>{"a1"});
     // Hosts that are busy when the partition heals read messages late.
     cluster.network.chooseDelay = [] { return std::chrono::milliseconds(250); };
-    cluster.executors.cut.clear();
+    cluster.executors.partitioned.clear();
     std::set<std::string> claimants;
     for (int i = 0; i < 200; ++i) {
         cluster.run(10ms);
--- a/tests/auto/dispatch/tst_dispatchrandom.cpp
+++ b/tests/auto/dispatch/tst_dispatchrandom.cpp
@@ -34,7 +34,7 @@
             return std::pair<Base::Duration, RunEnd>(
                 duration, !m_isSettled && draw(30) == 0 ? RunEnd::Failed : RunEnd::Done);
         };
-        m_cluster.executors.chooseFate = [this] { return fate(); };
+        m_cluster.executors.chooseDelivery = [this] { return delivery(); };
         m_cluster.network.chooseDelay = [this]() -> std::optional<Base::Duration> {
             return std::chrono::microseconds(200 + draw(m_slowNetwork ? 60'000 : 2000));
         };
@@ -93,21 +93,21 @@
         return ExecutorId(fmt::format("{}-x{}", domains[draw(3)], draw(3)));
     }
 
-    OrderFate fate()
+    OrderDelivery delivery()
     {
-        OrderFate fate;
-        fate.there = std::chrono::microseconds(100 + draw(3000));
-        fate.back = std::chrono::microseconds(100 + draw(3000));
+        OrderDelivery delivery;
+        delivery.requestDelay = std::chrono::microseconds(100 + draw(3000));
+        delivery.answerDelay = std::chrono::microseconds(100 + draw(3000));
         if (m_slowNetwork && draw(10) == 0)
-            fate.there += std::chrono::milliseconds(draw(250));
+            delivery.requestDelay += std::chrono::milliseconds(draw(250));
         if (m_lossyOrders) {
             const std::uint64_t n = draw(20);
-            fate.isLost = n == 0;
-            fate.isAnswerLost = n == 1;
+            delivery.isLost = n == 0;
+            delivery.isAnswerLost = n == 1;
             if (n == 2)
-                fate.lateBy = std::chrono::milliseconds(2000 + draw(10'000));
+                delivery.lateBy = std::chrono::milliseconds(2000 + draw(10'000));
         }
-        return fate;
+        return delivery;
     }
 
     void begin(Fault &fault)
@@ -135,16 +135,16 @@
             return;
         case 2: {
             const std::string domain = m_cluster.domains.at(daemon);
-            m_cluster.setDomainCut(domain, true);
-            fault.end = [this, domain] { m_cluster.setDomainCut(domain, false); };
+            m_cluster.setDomainPartitioned(domain, true);
+            fault.end = [this, domain] { m_cluster.setDomainPartitioned(domain, false); };
             return;
         }
         case 3: {
             const std::string other = pickDaemon();
             if (other == daemon)
                 return;
-            m_cluster.setCut(daemon, other, true);
-            fault.end = [this, daemon, other] { m_cluster.setCut(daemon, other, false); };
+            m_cluster.setPartitioned(daemon, other, true);
+            fault.end = [this, daemon, other] { m_cluster.setPartitioned(daemon, other, false); };
             return;
         }
         case 4:
@@ -163,9 +163,9 @@
             };
             return;
         case 7:
-            m_cluster.executors.cut.insert({daemon, executor});
+            m_cluster.executors.partitioned.insert({daemon, executor});
             fault.end = [this, daemon, executor] {
-                m_cluster.executors.cut.erase({daemon, executor});
+                m_cluster.executors.partitioned.erase({daemon, executor});
             };
             return;
         default: {
--- a/tests/auto/jobs/tst_jobs.cpp
+++ b/tests/auto/jobs/tst_jobs.cpp
@@ -197,7 +197,7 @@
         f.submitAndRun(submission, 100ms);
         f.table.down = true; // so that no replica is removed and none takes over
         for (const DaemonId &it : f.ids)
-            f.network.setCut(f.owner->identity.daemon, it, true);
+            f.network.setPartitioned(f.owner->identity.daemon, it, true);
         f.run(1600ms);
         BOOST_TEST(!f.owner->ownership.holdsLease(SHARD));
         f.network.restoreAll();
--- a/tests/auto/jobs/tst_jobsrandom.cpp
+++ b/tests/auto/jobs/tst_jobsrandom.cpp
@@ -130,8 +130,8 @@
         TestSupport::FakeWorker *faulty = &worker->second;
         switch (draw(11)) {
         case 0:
-            m_cluster.network.setCut(id, peer, true);
-            fault.end = [=, this] { m_cluster.network.setCut(id, peer, false); };
+            m_cluster.network.setPartitioned(id, peer, true);
+            fault.end = [=, this] { m_cluster.network.setPartitioned(id, peer, false); };
             break;
         case 1:
             m_cluster.network.chooseDelay = [this]() -> std::optional<Base::Duration> {
--- a/tests/auto/manifestservice/tst_manifestservice.cpp
+++ b/tests/auto/manifestservice/tst_manifestservice.cpp
@@ -225,7 +225,7 @@
         if (!platform(i).client.down)
             return true;
         for (std::size_t j = 0; j < m_daemons.size(); ++j) {
-            if (i != j && !network.isCut(idOf(i), idOf(j))
+            if (i != j && !network.isPartitioned(idOf(i), idOf(j))
                 && holder(j).revision().value() >= m_daemons[i].highest)
                 return true;
         }
@@ -334,8 +334,8 @@
 }
 
 // Guards against a daemon that reverts to a lower revision, and against daemons that end on
-// different revisions, with concurrent submissions, lost replies, cut links, outages, stale reads
-// and restarts.
+// different revisions, with concurrent submissions, lost replies, partitioned links, outages, stale
+// reads and restarts.
 BOOST_AUTO_TEST_CASE(concurrentSubmissionsConverge)
 {
     const std::uint64_t seed = TestSupport::environmentNumber("EP_RANDOM_SEED", 20261204);
@@ -374,8 +374,9 @@
         if (chance(20))
             deployment.platform(target).staleRow.reset();
         if (chance(10)) {
-            deployment.network.setCut(Deployment::idOf(target),
-                                      Deployment::idOf(random() % deployment.count()), chance(40));
+            deployment.network.setPartitioned(Deployment::idOf(target),
+                                              Deployment::idOf(random() % deployment.count()),
+                                              chance(40));
         }
         for (int step = 0; step < 5; ++step) {
             deployment.clock.advance(milliseconds(random() % 400));
--- a/tests/auto/ownership/daemoncluster.h
+++ b/tests/auto/ownership/daemoncluster.h
@@ -157,7 +157,7 @@
     {
         const auto it = daemons.find(to);
         if (it == daemons.end() || it->second->timers.isPaused()
-            || network.isCut(to, owner.identity.daemon)) {
+            || network.isPartitioned(to, owner.identity.daemon)) {
             return false;
         }
         SimulatedDaemon &replica = *it->second;
--- a/tests/auto/ownership/tst_ownership.cpp
+++ b/tests/auto/ownership/tst_ownership.cpp
@@ -78,7 +78,7 @@
     // The owner can read but not remove the candidate.
     owner.table.scriptWrites({no, no, no, no, no, no, no, no, no, no, no, no, no, no, no, no, no});
     candidate.table.scriptWrites({TableFault::Delayed, no, no, no, no});
-    cluster.network.setCut(owner.identity.daemon, candidate.identity.daemon, true);
+    cluster.network.setPartitioned(owner.identity.daemon, candidate.identity.daemon, true);
     cluster.run(2500ms);
     cluster.network.restoreAll();
     BOOST_TEST(!candidate.ownership.acceptsReplication(SHARD, Epoch(1), owner.identity));
@@ -121,7 +121,7 @@
     SimulatedDaemon &owner = cluster.settle();
     const DaemonId replica = cluster.other(owner).identity.daemon;
     owner.table.down = true;
-    cluster.network.setCut(owner.identity.daemon, replica, true);
+    cluster.network.setPartitioned(owner.identity.daemon, replica, true);
     cluster.start(replica);
     cluster.run(1s);
     BOOST_TEST(owner.holdsLease());
@@ -199,7 +199,7 @@
 
         // The lease depends on the added replica, also while the owner can't see the table.
         owner.table.down = true;
-        cluster.network.setCut(DaemonId("a"), DaemonId("b"), true);
+        cluster.network.setPartitioned(DaemonId("a"), DaemonId("b"), true);
         cluster.run(3s);
         BOOST_TEST(!owner.holdsLease());
         BOOST_TEST(joining.holdsLease());
@@ -222,7 +222,7 @@
     while (cluster.row().replicas.size() < 2)
         cluster.run(10ms);
     owner.table.down = true;
-    cluster.network.setCut(DaemonId("a"), DaemonId("b"), true);
+    cluster.network.setPartitioned(DaemonId("a"), DaemonId("b"), true);
     cluster.run(6s);
     BOOST_TEST(joining.holdsLease());
     BOOST_TEST(!owner.holdsLease());
@@ -268,7 +268,7 @@
     SimulatedDaemon &owner = cluster.settle();
     SimulatedDaemon &replica = cluster.other(owner);
     owner.table.down = true;
-    cluster.network.setCut(DaemonId("a"), DaemonId("b"), true);
+    cluster.network.setPartitioned(DaemonId("a"), DaemonId("b"), true);
     cluster.run(3s);
     BOOST_TEST(replica.holdsLease());
     replica.heartbeats = false; // the old owner can learn of the new one from the row only
@@ -283,13 +283,14 @@
 }
 
 // Guards against losing a shard for the whole platform outage because of one pause of its owner,
-// in a domain that is cut off from the platform.
+// in a domain that is partitioned from the platform.
 BOOST_AUTO_TEST_CASE(lapsedLeaseReturnsDuringPlatformOutage)
 {
     DaemonCluster cluster({"a", "b", "c"});
     SimulatedDaemon &owner = cluster.settle();
     cluster.table.down = true;
-    cluster.network.setCut(owner.identity.daemon, cluster.other(owner).identity.daemon, true);
+    cluster.network.setPartitioned(owner.identity.daemon, cluster.other(owner).identity.daemon,
+                                   true);
     cluster.run(3s);
     BOOST_TEST(!cluster.leaseHolder());
     cluster.network.restoreAll();
--- a/tests/auto/ownership/tst_ownershiprandom.cpp
+++ b/tests/auto/ownership/tst_ownershiprandom.cpp
@@ -83,8 +83,8 @@
         switch (draw(9)) {
         case 0:
         case 1:
-            m_cluster.network.setCut(id, peer, true);
-            fault.end = [=, this] { m_cluster.network.setCut(id, peer, false); };
+            m_cluster.network.setPartitioned(id, peer, true);
+            fault.end = [=, this] { m_cluster.network.setPartitioned(id, peer, false); };
             break;
         case 2:
             m_cluster.network.chooseDelay = [this]() -> std::optional<Base::Duration> {
--- a/tests/auto/scheduling/tst_slotshares.cpp
+++ b/tests/auto/scheduling/tst_slotshares.cpp
@@ -85,7 +85,7 @@
     bool send(int from, int to, const Wire::SlotLoan &message)
     {
         const auto outcome = m_random() % 10;
-        if (outcome == 0 || m_cutLinks.contains({std::min(from, to), std::max(from, to)}))
+        if (outcome == 0 || m_partitionedLinks.contains({std::min(from, to), std::max(from, to)}))
             return outcome % 2 == 0; // lost, or refused by the port
         const Base::Duration delay = std::chrono::milliseconds(outcome == 1 ? m_random() % 900 : 1);
         timers.schedule(delay, [this, from, to, message] {
@@ -159,8 +159,8 @@
         if (m_random() % 100 == 0) {
             const int a = static_cast<int>(m_random() % DAEMONS);
             const int b = static_cast<int>(m_random() % DAEMONS);
-            if (!m_cutLinks.erase({std::min(a, b), std::max(a, b)}))
-                m_cutLinks.insert({std::min(a, b), std::max(a, b)});
+            if (!m_partitionedLinks.erase({std::min(a, b), std::max(a, b)}))
+                m_partitionedLinks.insert({std::min(a, b), std::max(a, b)});
         }
         timers.advance(5ms);
     }
@@ -174,7 +174,7 @@
     std::mt19937_64 m_random;
     Base::Incarnation m_incarnation;
     std::set<Base::DaemonId> m_liveDaemons;
-    std::set<std::pair<int, int>> m_cutLinks;
+    std::set<std::pair<int, int>> m_partitionedLinks;
     std::map<Base::UpstreamId, std::uint32_t> m_used; // tasks running at the workers
     std::unique_ptr<Daemon> m_daemons[DAEMONS];
     std::vector<std::unique_ptr<Daemon>> m_retired; // keeps incarnation addresses distinct
@@ -205,7 +205,7 @@
 }
 
 // Guards against two daemons that use the same slot at once, under restarts, crashes, differing
-// lists of live daemons, cut links, and lost or late loan messages.
+// lists of live daemons, partitioned links, and lost or late loan messages.
 BOOST_AUTO_TEST_CASE(slotIsNeverUsedTwice)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
--- a/tests/auto/support/fakepeernetwork.h
+++ b/tests/auto/support/fakepeernetwork.h
@@ -1,4 +1,5 @@
-// Connections between simulated daemons: messages can be lost and delayed, links can be cut.
+// Connections between simulated daemons: messages can be lost and delayed, links can be
+// partitioned.
 #pragma once
 
 #include "manualtimers.h"
@@ -22,20 +23,20 @@
         : clock(clockOfTest)
     {}
 
-    /// Cuts or restores the link in both directions.
-    void setCut(const Base::DaemonId &a, const Base::DaemonId &b, bool cut)
+    /// Partitions or restores the link in both directions.
+    void setPartitioned(const Base::DaemonId &a, const Base::DaemonId &b, bool partitioned)
     {
         for (const auto &link : {std::pair(a, b), std::pair(b, a)}) {
-            if (cut)
-                m_cut.insert(link);
+            if (partitioned)
+                m_partitioned.insert(link);
             else
-                m_cut.erase(link);
+                m_partitioned.erase(link);
         }
     }
-    void restoreAll() { m_cut.clear(); }
-    bool isCut(const Base::DaemonId &a, const Base::DaemonId &b) const
+    void restoreAll() { m_partitioned.clear(); }
+    bool isPartitioned(const Base::DaemonId &a, const Base::DaemonId &b) const
     {
-        return m_cut.contains({a, b});
+        return m_partitioned.contains({a, b});
     }
 
     ManualTimers &clock;
@@ -46,7 +47,7 @@
 private:
     friend class FakePeerPort;
     std::map<Base::DaemonId, FakePeerPort *> m_ports;
-    std::set<std::pair<Base::DaemonId, Base::DaemonId>> m_cut;
+    std::set<std::pair<Base::DaemonId, Base::DaemonId>> m_partitioned;
     std::map<std::pair<Base::DaemonId, Base::DaemonId>, Base::TimePoint> m_lastArrival;
 };
 
@@ -67,7 +68,8 @@
 
     bool isConnected(const Base::DaemonId &peer) const override
     {
-        return m_network.m_ports.contains(peer) && !m_network.isCut(m_identity.daemon, peer);
+        return m_network.m_ports.contains(peer)
+               && !m_network.isPartitioned(m_identity.daemon, peer);
     }
 
     bool send(const Base::DaemonId &peer, const Wire::Message &message) override
@@ -89,7 +91,7 @@
                                      const auto it = network->m_ports.find(peer);
                                      if (it != network->m_ports.end()
                                          && it->second->m_identity.incarnation == run
-                                         && !network->isCut(from.daemon, peer)) {
+                                         && !network->isPartitioned(from.daemon, peer)) {
                                          it->second->receive(from, message);
                                      }
                                  });
--- a/tests/support/tcprelay.cpp
+++ b/tests/support/tcprelay.cpp
@@ -44,7 +44,7 @@
 
 void TcpRelay::restore()
 {
-    m_isCut = false;
+    m_isPartitioned = false;
     for (const auto &it : m_links) {
         it->relay = nullptr;
         it->close();
@@ -60,8 +60,8 @@
             return;
         if (!ec) {
             m_links.push_back(link);
-            // A connection attempt during the cut stays without an answer until restore().
-            if (m_isCut) {
+            // A connection attempt during the partition stays without an answer until restore().
+            if (m_isPartitioned) {
                 accept();
                 return;
             }
@@ -82,8 +82,9 @@
 {
     link->sockets[from].async_read_some(
         asio::buffer(link->buffers[from]), [link, from](const asio::error_code &ec, std::size_t n) {
-            // Bytes and ends of connections do not pass a cut; restore() closes the connection.
-            if (link->relay && link->relay->m_isCut) {
+            // Bytes and ends of connections do not pass a partition; restore() closes the
+            // connection.
+            if (link->relay && link->relay->m_isPartitioned) {
                 if (!ec)
                     pump(link, from);
                 return;
--- a/tests/support/tcprelay.h
+++ b/tests/support/tcprelay.h
@@ -1,4 +1,4 @@
-// A TCP relay that can be cut like a network link.
+// A TCP relay that can be partitioned like a network link.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -11,16 +11,16 @@
 
 namespace TestSupport {
 
-/// Relays connections from a loopback port to another. While it is cut, connections stay open and
-/// bytes do not pass, as with a partition: neither side is told.
+/// Relays connections from a loopback port to another. While it is partitioned, connections stay
+/// open and bytes do not pass, as in a network partition: neither side is told.
 class TcpRelay
 {
 public:
     TcpRelay(asio::io_context &io, std::uint16_t listenPort, std::uint16_t targetPort);
     ~TcpRelay();
 
-    void cut() { m_isCut = true; }
-    /// Closes the connections that were cut, so that the programs connect anew.
+    void partition() { m_isPartitioned = true; }
+    /// Closes the connections that were partitioned, so that the programs connect anew.
     void restore();
 
 private:
@@ -32,7 +32,7 @@
     asio::io_context &m_io;
     asio::ip::tcp::acceptor m_acceptor;
     asio::ip::tcp::endpoint m_target;
-    bool m_isCut = false;
+    bool m_isPartitioned = false;
     std::vector<std::shared_ptr<Link>> m_links; // kept until restore(), also if closed
 };
 
--- a/tests/system/deployment.cpp
+++ b/tests/system/deployment.cpp
@@ -212,10 +212,10 @@
     return loopback(m_platformPort);
 }
 
-void Deployment::cutSouth()
+void Deployment::partitionSouth()
 {
     for (const auto &it : m_relays)
-        it->cut();
+        it->partition();
 }
 
 void Deployment::restoreSouth()
--- a/tests/system/deployment.h
+++ b/tests/system/deployment.h
@@ -52,8 +52,8 @@
     const std::string &upstreamUrl(std::size_t upstream) const { return m_upstreamUrls[upstream]; }
     std::string platformUrl() const;
     const std::string &manifestText() const { return m_manifestText; }
-    /// Cuts the failure domain south off from north and from the platform.
-    void cutSouth();
+    /// Partitions the failure domain south from north and from the platform.
+    void partitionSouth();
     void restoreSouth();
 
     bool waitUntil(const std::function<bool()> &condition, Milliseconds limit);
--- a/tests/system/tst_system.cpp
+++ b/tests/system/tst_system.cpp
@@ -322,10 +322,10 @@
 
 // Guards against a domain that stops with its links, and against untruthful answers about a home
 // that can't be reached.
-BOOST_AUTO_TEST_CASE(domainCutOff)
+BOOST_AUTO_TEST_CASE(domainPartitioned)
 {
     Deployment deployment;
-    deployment.cutSouth();
+    deployment.partitionSouth();
     deployment.pass(Milliseconds(3000)); // longer than the lease and the freshness of heartbeats
     std::vector<std::shared_ptr<Sent>> own;
     for (std::size_t i = 0; i < 20; ++i) {
