--- a/tests/system/deployment.cpp
+++ b/tests/system/deployment.cpp
@@ -212,7 +212,7 @@
     return loopback(m_platformPort);
 }
 
-void Deployment::cutSouth()
+void Deployment::partitionSouth()
 {
     for (const auto &it : m_relays)
         it->partition();
