--- a/src/libs/ownership/rowwriter.cpp
+++ b/src/libs/ownership/rowwriter.cpp
@@ -83,7 +83,8 @@
         resolve(status, version);
         return;
     }
-    // The reply says only that this attempt was not written; an earlier one may still be.
+    // The reply says only that this attempt was not written; an earlier one may have been, or
+    // may still be.
     if (code == FailureCode::VersionMismatch)
         m_needsRead = true;
     if (!certain)
--- a/src/libs/ownership/rowwriter.h
+++ b/src/libs/ownership/rowwriter.h
@@ -39,7 +39,7 @@
 {
 public:
     /// Called with the write and its result, and, if it took effect, the version of the row and the
-    /// logical time of the first attempt.
+    /// logical time before the first attempt.
     using Resolved = std::function<void(RowWrite write, const absl::Status &, std::uint64_t version,
                                         LogicalTime)>;
 
--- a/src/libs/ownership/shard.cpp
+++ b/src/libs/ownership/shard.cpp
@@ -81,7 +81,7 @@
 {
     if (m_stopped || !isOwner() || m_needsNewEpoch || m_highestEpoch > m_row->epoch)
         return false;
-    // Each of these writes, once in effect, ends this epoch.
+    // Each of these writes may have taken effect already, and ended this epoch.
     if (m_writer.isPending(WriteKind::HandOver) || m_writer.isPending(WriteKind::Renew)
         || m_writer.isPending(WriteKind::Recover)) {
         return false;
